--- a/Lagoonward/Admission/Admission.cpp
+++ b/Lagoonward/Admission/Admission.cpp
@@ -15,8 +15,8 @@
 /// Weight of the newest request in the averaged duration.
 constexpr double kDurationWeight = 0.05;
 
-/// Stands for all other daemons together where a peer is named by its key.
-constexpr std::uint64_t kOthers = 0;
+/// Peer key of the aggregated demand of all other daemons.
+constexpr std::uint64_t kAggregatedPeers = 0;
 
 } // namespace
 
@@ -64,7 +64,7 @@
 Ticket::ReportTargets(bool aMet)
 {
   if (this->admission != nullptr) {
-    this->admission->OnTargets(this->rank, aMet);
+    this->admission->RecordTargets(this->rank, aMet);
   }
 }
 
@@ -86,9 +86,9 @@
 Admission::Admission(const AdmissionSettings& aSettings, const Clock& aClock, std::uint64_t aSeed)
   : settings(aSettings)
   , clock(aClock)
-  , random(aSeed)
-  , view(aSettings, aClock)
-  , sentAt(aClock.Now())
+  , randomState(aSeed)
+  , demandView(aSettings, aClock)
+  , demandTakenAt(aClock.Now())
 {
 }
 
@@ -99,14 +99,14 @@
   std::vector<Client> next;
   for (const ManifestClient& limits : aManifest.clients) {
     const std::uint64_t key = HashBytes(limits.name);
-    const Client* known = this->Find(key);
+    const Client* known = this->FindClient(key);
     Client client = known != nullptr ? *known : Client{};
     client.limits = limits;
     client.key = key;
-    this->Refresh(client);
+    this->RefreshLimits(client);
     if (known == nullptr) {
-      client.available = this->BucketOf(client);
-      client.filledAt = this->clock.Now();
+      client.availableTokens = this->BucketCapacity(client);
+      client.refilledAt = this->clock.Now();
     }
     if (this->settings.pooled) {
       this->ConfigurePool(client);
@@ -127,11 +127,11 @@
 Admission::SetDaemons(int aCount)
 {
   const std::lock_guard lock(this->mutex);
-  const bool isFirst = this->knownDaemons == 0;
-  this->knownDaemons = std::max(aCount, 1);
+  const bool isFirst = this->daemonCount == 0;
+  this->daemonCount = std::max(aCount, 1);
   if (isFirst) {
     for (Client& client : this->clients) {
-      this->BeginPoolInterval(client);
+      this->UpdatePoolDaemonCount(client);
     }
   }
 }
@@ -140,10 +140,10 @@
 Admission::SetReserves(std::function<ReserveRole(std::uint64_t aClient)> aRoleOf)
 {
   const std::lock_guard lock(this->mutex);
-  this->roleOf = std::move(aRoleOf);
+  this->reserveRoleOf = std::move(aRoleOf);
   for (Client& client : this->clients) {
     if (client.pool) {
-      client.pool->SetRole(this->roleOf(client.key), this->clock.Now());
+      client.pool->SetRole(this->reserveRoleOf(client.key), this->clock.Now());
     }
   }
 }
@@ -152,7 +152,7 @@
 Admission::WantedLoan(const AdmissionRequest& aRequest)
 {
   const std::lock_guard lock(this->mutex);
-  Client* client = this->Find(HashBytes(aRequest.client));
+  Client* client = this->FindClient(HashBytes(aRequest.client));
   if (client == nullptr || !client->pool || client->limits.tokensPerSecond <= 0) {
     return std::nullopt;
   }
@@ -168,7 +168,7 @@
 Admission::Lend(const LoanRequest& aRequest)
 {
   const std::lock_guard lock(this->mutex);
-  Client* client = this->Find(aRequest.client);
+  Client* client = this->FindClient(aRequest.client);
   return client != nullptr && client->pool ? client->pool->Lend(aRequest, this->clock.Now())
                                            : Loan{};
 }
@@ -177,7 +177,7 @@
 Admission::OnLoan(const LoanRequest& aRequest, const std::optional<Loan>& aLoan)
 {
   const std::lock_guard lock(this->mutex);
-  Client* client = this->Find(aRequest.client);
+  Client* client = this->FindClient(aRequest.client);
   if (client == nullptr || !client->pool) {
     return;
   }
@@ -192,18 +192,18 @@
 Admission::Admit(const AdmissionRequest& aRequest)
 {
   const std::lock_guard lock(this->mutex);
-  Client* client = this->Find(HashBytes(aRequest.client));
+  Client* client = this->FindClient(HashBytes(aRequest.client));
   if (client == nullptr) {
-    return Error(ErrorKind::Unauthorized, "the manifest names no such client");
+    return Error(ErrorKind::Unauthorized, "client account is not in the manifest");
   }
-  client->asked += aRequest.tokens;
+  client->requestedTokens += aRequest.tokens;
   if (auto allowed = this->CheckLimits(*client, aRequest); !allowed) {
     return allowed.error();
   }
   if (auto allowed = this->CheckPressure(*client, aRequest.rank); !allowed) {
     return allowed.error();
   }
-  client->available -= aRequest.tokens;
+  client->availableTokens -= aRequest.tokens;
   client->running++;
   return Ticket(*this, client->key, aRequest);
 }
@@ -213,8 +213,10 @@
 {
   if (aClient.limits.concurrent > 0 && aClient.running >= aClient.runningLimit) {
     return Error(ErrorKind::ClientOverLimit,
-                 fmt::format("client {} runs as many requests as it may", aClient.limits.name))
-      .WithRetryAfter(this->Bounded(this->meanSeconds / std::max(aClient.running, 1)));
+                 fmt::format("client {} has reached its limit of concurrent requests",
+                             aClient.limits.name))
+      .WithRetryAfter(
+        this->ClampRetryAfter(this->meanRequestSeconds / std::max(aClient.running, 1)));
   }
   if (aClient.limits.tokensPerSecond <= 0) {
     return boost::outcome_v2::success();
@@ -223,27 +225,27 @@
   if (aClient.pool) {
     const double seconds = aClient.pool->Take(aRequest.tokens, this->clock.Now());
     if (seconds > 0) {
-      return this->OverLimit(aClient, seconds);
+      return this->MakeTokenLimitError(aClient, seconds);
     }
     return boost::outcome_v2::success();
   }
 
-  // A request larger than the bucket passes when the bucket is full, and is paid off afterwards
-  this->Fill(aClient);
-  const double rate = this->RateOf(aClient);
-  const double needed = std::min(aRequest.tokens, this->BucketOf(aClient));
-  if (aClient.available < needed) {
-    return this->OverLimit(aClient, (needed - aClient.available) / rate);
+  // A request larger than the bucket is admitted if the bucket is full; the overdraft is refilled afterwards
+  this->Refill(aClient);
+  const double rate = this->RefillRate(aClient);
+  const double needed = std::min(aRequest.tokens, this->BucketCapacity(aClient));
+  if (aClient.availableTokens < needed) {
+    return this->MakeTokenLimitError(aClient, (needed - aClient.availableTokens) / rate);
   }
   return boost::outcome_v2::success();
 }
 
 Error
-Admission::OverLimit(const Client& aClient, double aSeconds) const
+Admission::MakeTokenLimitError(const Client& aClient, double aSeconds) const
 {
   return Error(ErrorKind::ClientOverLimit,
-               fmt::format("client {} uses as many tokens as it may", aClient.limits.name))
-    .WithRetryAfter(this->Bounded(aSeconds));
+               fmt::format("client {} has reached its token rate limit", aClient.limits.name))
+    .WithRetryAfter(this->ClampRetryAfter(aSeconds));
 }
 
 void
@@ -253,66 +255,69 @@
   if (!aClient.pool) {
     aClient.pool.emplace(this->settings.pool, now);
   }
-  const double more = 1 + this->settings.limitTolerance;
-  aClient.pool->Configure({ aClient.limits.tokensPerSecond * more,
-                            aClient.limits.burstTokens * more, this->settings.limitSlack },
+  const double factor = 1 + this->settings.limitTolerance;
+  aClient.pool->Configure({ aClient.limits.tokensPerSecond * factor,
+                            aClient.limits.burstTokens * factor, this->settings.limitSlack },
                           now);
-  aClient.pool->SetRole(this->roleOf(aClient.key), now);
-  this->BeginPoolInterval(aClient);
+  aClient.pool->SetRole(this->reserveRoleOf(aClient.key), now);
+  this->UpdatePoolDaemonCount(aClient);
 }
 
 void
-Admission::BeginPoolInterval(Client& aClient) const
+Admission::UpdatePoolDaemonCount(Client& aClient) const
 {
-  const int heard = this->view.LiveDaemons();
-  const bool isKnown = this->knownDaemons > 0 || heard > 1;
+  const int liveDaemons = this->demandView.LiveDaemons();
+  const bool isKnown = this->daemonCount > 0 || liveDaemons > 1;
   if (aClient.pool && isKnown) {
-    aClient.pool->OnInterval(std::max(heard, this->knownDaemons), this->clock.Now());
+    aClient.pool->OnSendInterval(std::max(liveDaemons, this->daemonCount), this->clock.Now());
   }
 }
 
 Result<void>
 Admission::CheckPressure(const Client& aClient, int aRank)
 {
-  // Shed a growing part, not all at once: reports lag, and a hard limit would swing
-  const double usual = this->settings.shedFrom + this->settings.shedRankStep * aRank -
-                       this->settings.shedFairness * this->OverUse(aClient);
-  const double shifted = usual - this->settings.missShift * this->MissPart(aRank);
-  const double from = std::min(std::max(shifted, this->settings.missFloor), usual);
-  const double part = std::clamp((this->pressure - from) / this->settings.shedWidth, 0.0, 1.0);
-  this->random = CombineHashes(this->random, 1);
-  const double draw = std::ldexp(static_cast<double>(this->random >> 11U), -53);
-  if (draw >= part) {
+  // The shed fraction grows with the pressure: reports lag, and a hard threshold would make the load oscillate
+  const double baseThreshold = this->settings.shedFrom + this->settings.shedRankStep * aRank -
+                               this->settings.shedFairness * this->FairShareExcess(aClient);
+  const double loweredThreshold =
+    baseThreshold - this->settings.missShift * this->MissShiftFraction(aRank);
+  const double effectiveThreshold =
+    std::min(std::max(loweredThreshold, this->settings.missFloor), baseThreshold);
+  const double shedFraction =
+    std::clamp((this->pressure - effectiveThreshold) / this->settings.shedWidth, 0.0, 1.0);
+  this->randomState = CombineHashes(this->randomState, 1);
+  const double sample = std::ldexp(static_cast<double>(this->randomState >> 11U), -53);
+  if (sample >= shedFraction) {
     return boost::outcome_v2::success();
   }
-  const double excess = std::max(this->pressure - from, 0.0);
-  return Error(ErrorKind::Overloaded, "the endpoints are full")
-    .WithRetryAfter(this->Bounded(this->meanSeconds * std::min(excess, 1.0)));
+  const double excess = std::max(this->pressure - effectiveThreshold, 0.0);
+  return Error(ErrorKind::Overloaded, "the endpoints are at capacity")
+    .WithRetryAfter(this->ClampRetryAfter(this->meanRequestSeconds * std::min(excess, 1.0)));
 }
 
 void
-Admission::OnTargets(int aRank, bool aMet)
+Admission::RecordTargets(int aRank, bool aMet)
 {
   const std::lock_guard lock(this->mutex);
-  double& part = this->misses[std::min(static_cast<std::size_t>(aRank), kRanks - 1)];
-  part += this->settings.missWeight * ((aMet ? 0 : 1) - part);
+  double& ratio = this->missRatios[std::min(static_cast<std::size_t>(aRank), kRanks - 1)];
+  ratio += this->settings.missWeight * ((aMet ? 0 : 1) - ratio);
 }
 
 double
-Admission::MissPart(int aRank) const
+Admission::MissShiftFraction(int aRank) const
 {
-  // Its own misses count half: shedding some of the rank saves the rest of it
-  double most = this->misses[std::min(static_cast<std::size_t>(aRank), kRanks - 1)] / 2;
+  // Misses of the rank itself count half: shedding some of its requests lets the others meet their targets
+  double highest = this->missRatios[std::min(static_cast<std::size_t>(aRank), kRanks - 1)] / 2;
   for (auto rank = static_cast<std::size_t>(aRank) + 1; rank < kRanks; ++rank) {
-    most = std::max(most, this->misses[rank]);
+    highest = std::max(highest, this->missRatios[rank]);
   }
-  return std::min(most / this->settings.missFull, 1.0);
+  return std::min(highest / this->settings.missFull, 1.0);
 }
 
 double
-Admission::OverUse(const Client& aClient) const
+Admission::FairShareExcess(const Client& aClient) const
 {
-  // Its part of all running requests against its part of the weights of those who run any
+  // Compares the client's fraction of all running requests with its fraction of the weights of clients with running requests
   double weights = 0;
   double running = 0;
   for (const Client& client : this->clients) {
@@ -323,9 +328,9 @@
   if (running <= 0 || weights <= 0) {
     return 0;
   }
-  const double part = (aClient.running + aClient.runningAtPeers) / running;
-  const double fair = aClient.limits.weight / weights;
-  return std::clamp(part / fair - 1, -1.0, 1.0);
+  const double fraction = (aClient.running + aClient.runningAtPeers) / running;
+  const double fairFraction = aClient.limits.weight / weights;
+  return std::clamp(fraction / fairFraction - 1, -1.0, 1.0);
 }
 
 std::vector<ClientDemand>
@@ -333,8 +338,8 @@
 {
   const std::lock_guard lock(this->mutex);
   const TimePoint now = this->clock.Now();
-  const double seconds = ToSeconds(now - this->sentAt);
-  this->sentAt = now;
+  const double seconds = ToSeconds(now - this->demandTakenAt);
+  this->demandTakenAt = now;
 
   // Exponential average over the window
   const double window = ToSeconds(this->settings.demandWindow);
@@ -342,18 +347,18 @@
   std::vector<ClientDemand> demand;
   for (Client& client : this->clients) {
     if (seconds > 0) {
-      client.demand += weight * (client.asked / seconds - client.demand);
-      client.asked = 0;
+      client.averageDemand += weight * (client.requestedTokens / seconds - client.averageDemand);
+      client.requestedTokens = 0;
     }
-    demand.push_back({ client.key, client.demand, client.running,
+    demand.push_back({ client.key, client.averageDemand, client.running,
                        client.pool ? client.pool->AdmittedTotal() : 0 });
   }
   for (Client& client : this->clients) {
-    this->BeginPoolInterval(client);
+    this->UpdatePoolDaemonCount(client);
   }
-  this->view.OnOwnSent(demand);
+  this->demandView.OnOwnDemandSent(demand);
   for (Client& client : this->clients) {
-    this->Refresh(client);
+    this->RefreshLimits(client);
   }
   return demand;
 }
@@ -362,35 +367,35 @@
 Admission::OnPeer(std::uint64_t aDaemon, std::span<const ClientDemand> aDemand)
 {
   const std::lock_guard lock(this->mutex);
-  this->TakePeer(aDaemon, aDemand, 1, 0);
+  this->ApplyPeerDemand(aDaemon, aDemand, 1, 0);
 }
 
 void
 Admission::OnOthers(const DemandOfOthers& aOthers)
 {
   const std::lock_guard lock(this->mutex);
-  this->TakePeer(kOthers, aOthers.demand, aOthers.daemons, aOthers.series);
-  // That nobody has asked for a client is known, too
-  std::vector<std::uint64_t> named;
-  named.reserve(aOthers.demand.size());
+  this->ApplyPeerDemand(kAggregatedPeers, aOthers.demand, aOthers.daemons, aOthers.series);
+  // A client that is missing from the aggregated demand has a total of zero at all other daemons
+  std::vector<std::uint64_t> listed;
+  listed.reserve(aOthers.demand.size());
   for (const ClientDemand& demand : aOthers.demand) {
-    named.push_back(demand.client);
+    listed.push_back(demand.client);
   }
-  std::sort(named.begin(), named.end());
+  std::sort(listed.begin(), listed.end());
   for (Client& client : this->clients) {
-    if (client.pool && !std::binary_search(named.begin(), named.end(), client.key)) {
-      client.pool->OnPeer(kOthers, 0, this->clock.Now(), aOthers.daemons, aOthers.series);
+    if (client.pool && !std::binary_search(listed.begin(), listed.end(), client.key)) {
+      client.pool->OnPeer(kAggregatedPeers, 0, this->clock.Now(), aOthers.daemons, aOthers.series);
     }
   }
 }
 
 void
-Admission::TakePeer(std::uint64_t aPeer, std::span<const ClientDemand> aDemand, int aDaemons,
-                    std::uint64_t aSeries)
+Admission::ApplyPeerDemand(std::uint64_t aPeer, std::span<const ClientDemand> aDemand, int aDaemons,
+                           std::uint64_t aSeries)
 {
-  this->view.OnPeer(aPeer, aDemand, aDaemons);
+  this->demandView.OnPeer(aPeer, aDemand, aDaemons);
   for (const ClientDemand& demand : aDemand) {
-    Client* client = this->Find(demand.client);
+    Client* client = this->FindClient(demand.client);
     if (client != nullptr && client->pool) {
       client->pool->OnPeer(aPeer, demand.admittedTotal, this->clock.Now(), aDaemons, aSeries);
     }
@@ -398,42 +403,44 @@
 }
 
 void
-Admission::Refresh(Client& aClient) const
+Admission::RefreshLimits(Client& aClient) const
 {
-  // Until the next heartbeat this daemon may add its part of the free places, rounded up: all
-  // daemons together exceed the limit by less than one place each
-  this->Fill(aClient);
-  const ClientShare share = this->view.ShareOf(aClient.key);
-  aClient.share = share.share;
+  // Until the next heartbeat this daemon may use its share of the free slots, rounded up: all daemons together exceed the
+  // limit by less than one slot each
+  this->Refill(aClient);
+  const ClientShare share = this->demandView.ShareOf(aClient.key);
+  aClient.rateShare = share.rateShare;
   aClient.runningAtPeers = share.runningAtPeers;
-  const int free = aClient.limits.concurrent - aClient.running - aClient.runningAtPeers;
-  const double part = std::ceil(std::max(free, 0) * aClient.share);
-  aClient.runningLimit = aClient.running + static_cast<int>(part);
+  const int freeSlots = aClient.limits.concurrent - aClient.running - aClient.runningAtPeers;
+  const double addedSlots = std::ceil(std::max(freeSlots, 0) * aClient.rateShare);
+  aClient.runningLimit = aClient.running + static_cast<int>(addedSlots);
 }
 
 void
-Admission::Fill(Client& aClient) const
+Admission::Refill(Client& aClient) const
 {
   const TimePoint now = this->clock.Now();
-  const double rate = this->RateOf(aClient);
-  const double earned = rate * ToSeconds(now - aClient.filledAt);
-  aClient.available = std::min(aClient.available + earned, this->BucketOf(aClient));
-  aClient.filledAt = now;
+  const double rate = this->RefillRate(aClient);
+  const double refilledTokens = rate * ToSeconds(now - aClient.refilledAt);
+  aClient.availableTokens =
+    std::min(aClient.availableTokens + refilledTokens, this->BucketCapacity(aClient));
+  aClient.refilledAt = now;
 }
 
 double
-Admission::BucketOf(const Client& aClient) const
+Admission::BucketCapacity(const Client& aClient) const
 {
-  const double whole = aClient.limits.burstTokens > 0
-                         ? aClient.limits.burstTokens
-                         : aClient.limits.tokensPerSecond * this->settings.burstSeconds;
-  return (whole * (1 + this->settings.limitTolerance) + this->settings.limitSlack) * aClient.share;
+  const double capacity = aClient.limits.burstTokens > 0
+                            ? aClient.limits.burstTokens
+                            : aClient.limits.tokensPerSecond * this->settings.burstSeconds;
+  return (capacity * (1 + this->settings.limitTolerance) + this->settings.limitSlack) *
+         aClient.rateShare;
 }
 
 double
-Admission::RateOf(const Client& aClient) const
+Admission::RefillRate(const Client& aClient) const
 {
-  return aClient.limits.tokensPerSecond * (1 + this->settings.limitTolerance) * aClient.share;
+  return aClient.limits.tokensPerSecond * (1 + this->settings.limitTolerance) * aClient.rateShare;
 }
 
 void
@@ -441,16 +448,16 @@
 {
   const std::lock_guard lock(this->mutex);
   const double seconds = ToSeconds(this->clock.Now() - aAdmittedAt);
-  this->meanSeconds += kDurationWeight * (seconds - this->meanSeconds);
-  Client* client = this->Find(aClient);
+  this->meanRequestSeconds += kDurationWeight * (seconds - this->meanRequestSeconds);
+  Client* client = this->FindClient(aClient);
   if (client != nullptr) {
     client->running = std::max(client->running - 1, 0);
-    client->available += aEstimated - aUsed;
+    client->availableTokens += aEstimated - aUsed;
   }
 }
 
 Admission::Client*
-Admission::Find(std::uint64_t aKey)
+Admission::FindClient(std::uint64_t aKey)
 {
   const auto found = std::find_if(this->clients.begin(), this->clients.end(),
                                   [&](const Client& aClient) { return aClient.key == aKey; });
@@ -458,7 +465,7 @@
 }
 
 Milliseconds
-Admission::Bounded(double aSeconds) const
+Admission::ClampRetryAfter(double aSeconds) const
 {
   const std::chrono::duration<double> wait(aSeconds);
   return std::clamp(std::chrono::duration_cast<Milliseconds>(wait), this->settings.retryAfterFloor,
--- a/Lagoonward/Admission/Admission.h
+++ b/Lagoonward/Admission/Admission.h
@@ -15,7 +15,7 @@
 
 class Admission;
 
-/// What admission must know of one request.
+/// The properties of a request that admission control uses.
 struct AdmissionRequest
 {
   std::string_view client; ///< The account's name, already authenticated.
@@ -23,7 +23,7 @@
   double tokens = 0; ///< Estimate: uncached prompt and expected answer.
 };
 
-/// Proof that a request was admitted. Gives its place back when it goes out of scope.
+/// Represents one admitted request. The destructor releases the request's concurrency slot. Movable, not copyable.
 class Ticket
 {
 public:
@@ -33,10 +33,12 @@
   Ticket& operator=(const Ticket&) = delete;
   ~Ticket();
 
-  /// States whether the answer kept its class's targets. While answers of a rank miss theirs, lower ranks are shed earlier.
+  /// Reports whether the answer met its class's targets. While answers of a rank miss their targets, lower ranks are shed
+  /// earlier.
   void ReportTargets(bool aMet);
 
-  /// States what the request used in the end, so that the estimate's error is charged or refunded.
+  /// Sets the number of tokens that the request used. The difference from the estimate is charged or refunded when the
+  /// ticket is released.
   void Settle(double aTokens);
 
 private:
@@ -53,49 +55,50 @@
   TimePoint admittedAt;
 };
 
-/// Decides at once whether a request is taken. Limits per client hold over the whole deployment (see
-/// DemandView for the error bound); when the endpoints fill up, the lowest ranks are shed first, and
-/// within a rank the clients furthest above their fair share. Whatever is refused was not run.
-/// Thread-safe by one short mutex.
+/// Decides immediately whether a request is admitted; there is no queue. Limits per client apply to the whole deployment
+/// (see DemandView for the error bound). Under high pressure on the endpoints the lowest ranks are shed first, and within
+/// a rank the clients furthest above their fair share. A refused request was never sent to an endpoint.
+/// Thread-safe; one mutex is held for a short time.
 class Admission
 {
 public:
   Admission(const AdmissionSettings& aSettings, const Clock& aClock, std::uint64_t aSeed);
 
-  /// Takes over the clients of a manifest. Requests that run keep their places.
+  /// Applies the clients of a manifest. Running requests keep their concurrency slots.
   void Configure(const Manifest& aManifest);
 
-  /// Sets how full the endpoints are; see Router::Pressure().
+  /// Sets the utilization of the endpoints; see Router::Pressure().
   void SetPressure(double aPressure);
 
-  /// How many daemons may share the limits, this one included, as far as is known without having heard from them.
-  /// Until the first call or the first message of a peer, pooled limits let nothing through.
+  /// Sets the number of daemons that may share the limits, including this one, as known from configuration rather than
+  /// from received messages. Until the first call or the first message of a peer, pooled limits admit nothing.
   void SetDaemons(int aCount);
 
-  /// Says what this daemon keeps of each pooled limit, named by the hash of its account's name. Until the first call it
-  /// keeps the primary reserve of each, as nobody else is known to.
+  /// Sets the function that returns the reserve role of this daemon for each pooled limit. Its argument is the hash of the
+  /// account's name. Until the first call this daemon acts as the primary reserve of every limit, as no other daemon is
+  /// known to own one.
   void SetReserves(std::function<ReserveRole(std::uint64_t aClient)> aRoleOf);
 
-  /// What to borrow from a reserve before Admit() is called, or nothing.
+  /// Returns the tokens to request from a reserve before Admit() is called, or nothing if none are needed.
   [[nodiscard]] std::optional<LoanRequest> WantedLoan(const AdmissionRequest& aRequest);
 
-  /// Another daemon asks for a part of a reserve that is kept here.
+  /// Handles another daemon's request for tokens of a reserve that this daemon owns.
   [[nodiscard]] Loan Lend(const LoanRequest& aRequest);
 
-  /// A reserve has answered this daemon, or none has.
+  /// Handles the reply of a reserve, or the lack of a reply from any reserve.
   void OnLoan(const LoanRequest& aRequest, const std::optional<Loan>& aLoan);
 
   /// Errors, all with ran "no": Unauthorized for an account that the manifest does not name;
   /// ClientOverLimit with `retryAfter` until its limits allow it; Overloaded with `retryAfter`.
   [[nodiscard]] Result<Ticket> Admit(const AdmissionRequest& aRequest);
 
-  /// What the next heartbeat has to say; to be called once for each.
+  /// Returns the demand to send with the next heartbeat. Must be called exactly once for each heartbeat.
   [[nodiscard]] std::vector<ClientDemand> TakeDemand();
 
-  /// A peer's heartbeat has said this.
+  /// Applies the demand received with a peer's heartbeat.
   void OnPeer(std::uint64_t aDaemon, std::span<const ClientDemand> aDemand);
 
-  /// What all other daemons ask for and have admitted, in place of a message from each of them.
+  /// Applies the aggregated demand and admitted totals of all other daemons, received in place of one message from each.
   void OnOthers(const DemandOfOthers& aOthers);
 
 private:
@@ -103,56 +106,58 @@
 
   static constexpr std::size_t kRanks = 4;
 
-  /// One account and what it uses at this daemon.
+  /// One account and its usage at this daemon.
   struct Client
   {
     ManifestClient limits;
     std::uint64_t key = 0;
     int running = 0;
     int runningLimit = 0; ///< At this daemon until the next heartbeat; unused without a limit.
-    double share = 1;     ///< Of the rate limit.
+    double rateShare = 1; ///< This daemon's fraction of the rate limit.
     int runningAtPeers = 0;
-    double available = 0; ///< Tokens in the bucket.
-    TimePoint filledAt;
-    double asked = 0;                 ///< Tokens asked for since the last heartbeat.
-    double demand = 0;                ///< Tokens per second, averaged.
-    std::optional<PooledBucket> pool; ///< Instead of the bucket above, where limits are pooled.
+    double availableTokens = 0; ///< In the bucket.
+    TimePoint refilledAt;
+    double requestedTokens = 0;       ///< Since the last heartbeat.
+    double averageDemand = 0;         ///< Tokens per second.
+    std::optional<PooledBucket> pool; ///< Replaces the bucket above if limits are pooled.
   };
 
-  void TakePeer(std::uint64_t aPeer, std::span<const ClientDemand> aDemand, int aDaemons,
-                std::uint64_t aSeries);
+  void ApplyPeerDemand(std::uint64_t aPeer, std::span<const ClientDemand> aDemand, int aDaemons,
+                       std::uint64_t aSeries);
   void Finish(std::uint64_t aClient, double aEstimated, double aUsed, TimePoint aAdmittedAt);
-  [[nodiscard]] Client* Find(std::uint64_t aKey);
-  [[nodiscard]] Error OverLimit(const Client& aClient, double aSeconds) const;
+  [[nodiscard]] Client* FindClient(std::uint64_t aKey);
+  [[nodiscard]] Error MakeTokenLimitError(const Client& aClient, double aSeconds) const;
   void ConfigurePool(Client& aClient) const;
-  void BeginPoolInterval(Client& aClient) const;
-  void Fill(Client& aClient) const;
-  /// Most tokens that this daemon's part of a client's bucket holds.
-  [[nodiscard]] double BucketOf(const Client& aClient) const;
-  /// Tokens per second that this daemon may let through.
-  [[nodiscard]] double RateOf(const Client& aClient) const;
-  void Refresh(Client& aClient) const;
+  void UpdatePoolDaemonCount(Client& aClient) const;
+  void Refill(Client& aClient) const;
+  /// Capacity in tokens of this daemon's share of a client's bucket.
+  [[nodiscard]] double BucketCapacity(const Client& aClient) const;
+  /// Tokens per second that this daemon may admit.
+  [[nodiscard]] double RefillRate(const Client& aClient) const;
+  void RefreshLimits(Client& aClient) const;
   [[nodiscard]] Result<void> CheckLimits(Client& aClient, const AdmissionRequest& aRequest);
   [[nodiscard]] Result<void> CheckPressure(const Client& aClient, int aRank);
-  void OnTargets(int aRank, bool aMet);
-  [[nodiscard]] double MissPart(int aRank) const;
-  [[nodiscard]] double OverUse(const Client& aClient) const;
-  [[nodiscard]] Milliseconds Bounded(double aSeconds) const;
+  void RecordTargets(int aRank, bool aMet);
+  /// Fraction of `missShift` to apply to a rank, from 0 to 1.
+  [[nodiscard]] double MissShiftFraction(int aRank) const;
+  /// How far a client is above (up to 1) or below (down to -1) its fair share of the running requests.
+  [[nodiscard]] double FairShareExcess(const Client& aClient) const;
+  [[nodiscard]] Milliseconds ClampRetryAfter(double aSeconds) const;
 
   AdmissionSettings settings;
   const Clock& clock;
   std::mutex mutex; ///< Guards all below.
-  std::uint64_t random;
+  std::uint64_t randomState;
   std::vector<Client> clients;
-  DemandView view;
-  std::function<ReserveRole(std::uint64_t)> roleOf = [](std::uint64_t) {
+  DemandView demandView;
+  std::function<ReserveRole(std::uint64_t)> reserveRoleOf = [](std::uint64_t) {
     return ReserveRole::Primary;
   };
-  int knownDaemons = 0; ///< Zero until told.
+  int daemonCount = 0; ///< Zero until the first SetDaemons().
   double pressure = 0;
-  std::array<double, kRanks> misses{}; ///< Averaged part of missed targets, by rank.
-  double meanSeconds = 1;              ///< Averaged duration of requests.
-  TimePoint sentAt;                    ///< Time of the last TakeDemand().
+  std::array<double, kRanks> missRatios{}; ///< Averaged ratio of missed targets, by rank.
+  double meanRequestSeconds = 1;           ///< Averaged duration of requests.
+  TimePoint demandTakenAt;                 ///< Time of the last TakeDemand().
 };
 
 } // namespace lagoonward
--- a/Lagoonward/Admission/AdmissionSettings.h
+++ b/Lagoonward/Admission/AdmissionSettings.h
@@ -5,41 +5,42 @@
 
 namespace lagoonward {
 
-/// Everything tunable about admission. A pressure of 1 means that every sequence of the endpoints
-/// is taken; above, requests wait there.
+/// Settings of admission control. A pressure of 1 means that all sequence slots of the endpoints are in use; above 1,
+/// requests queue at the endpoints.
 struct AdmissionSettings
 {
-  double equalPart = 0.2;            ///< Part of a limit that is split evenly, whatever the demand.
-  Milliseconds peerTimeout{ 5000 };  ///< A peer not heard of for so long no longer counts.
+  double evenShare = 0.2; ///< Fraction of a limit that is split evenly, regardless of demand.
+  Milliseconds peerTimeout{ 5000 };  ///< A peer that sends nothing for this long is not counted.
   Milliseconds demandWindow{ 2000 }; ///< Time over which demand is averaged.
-  double burstSeconds = 2; ///< Tokens that a client may use at once, in seconds of its rate.
-  /// How much more than a client's limit all daemons together may let through: what the operator
-  /// tolerates, less what requests larger than a daemon's part of the bucket overdraw.
-  double limitTolerance = 0; ///< As a part of rate and burst.
-  double limitSlack = 0;     ///< Further tokens at once.
-  /// Daemons keep one bucket for each client together instead of splitting its rate. Serves a client
-  /// whose requests are large beside a daemon's part; needs somebody who carries loans between them.
+  double burstSeconds = 2; ///< Default bucket capacity of a client, in seconds of its rate.
+  /// How far all daemons together may exceed a client's limit: the operator's tolerance, less the overdraft of requests
+  /// larger than one daemon's share of the bucket.
+  double limitTolerance = 0; ///< As a fraction of rate and burst.
+  double limitSlack = 0;     ///< Additional tokens at once.
+  /// All daemons together keep one bucket per client instead of splitting its rate. Needed for a client whose requests are
+  /// large relative to one daemon's share; requires a LimitLender that transfers tokens between daemons.
   bool pooled = false;
   PooledBucketSettings pool;
-  double shedFrom = 0.8;     ///< Pressure at which the lowest rank begins to be shed.
-  double shedWidth = 0.15;   ///< From there, so much more pressure sheds all of it.
-  double shedRankStep = 0.2; ///< Each higher rank begins so much later.
-  double shedFairness = 0.2; ///< How much earlier a client at twice its fair share is shed.
+  double shedFrom = 0.8;     ///< Pressure above which requests of the lowest rank are shed.
+  double shedWidth = 0.15;   ///< Pressure range over which the shed fraction grows from 0 to 1.
+  double shedRankStep = 0.2; ///< Increase of the shedding threshold for each higher rank.
+  double shedFairness = 0.2; ///< Decrease of the threshold for a client at twice its fair share.
   double missShift =
-    0.5; ///< How much earlier a rank is shed while it or a higher one misses targets.
-  double missFloor = 0.5;   ///< Misses shed nothing below this pressure.
-  double missFull = 0.05;   ///< Part of missed targets at which the whole shift applies.
-  double missWeight = 0.02; ///< Weight of the newest answer in the averaged part of misses.
-  Milliseconds retryAfterFloor{ 200 };     ///< Shortest Retry-After that is given.
-  Milliseconds retryAfterCeiling{ 30000 }; ///< Longest.
+    0.5; ///< Largest decrease of the threshold of a rank while it or a higher one misses targets.
+  double missFloor = 0.5;   ///< Misses do not lower the threshold below this pressure.
+  double missFull = 0.05;   ///< Ratio of missed targets at which the whole of `missShift` applies.
+  double missWeight = 0.02; ///< Weight of the newest answer in the averaged ratio of misses.
+  Milliseconds retryAfterFloor{ 200 };     ///< Shortest Retry-After sent.
+  Milliseconds retryAfterCeiling{ 30000 }; ///< Longest Retry-After sent.
 };
 
-/// Retries allowed to one deployment: a share of what succeeds, so that a fault cannot multiply the load.
+/// Settings of the retry budget of one deployment. Retries are limited to a fraction of the successful requests, so that a
+/// fault cannot multiply the load.
 struct RetryBudgetSettings
 {
   double perSuccess = 0.1; ///< Retries earned by one successful request.
-  double perSecond = 1;    ///< Retries earned by time alone, over the whole deployment.
-  double capacity = 20;    ///< Most that can be saved up, over the whole deployment.
+  double perSecond = 1;    ///< Retries earned per second, over the whole deployment.
+  double capacity = 20;    ///< Largest number of unused retries, over the whole deployment.
 };
 
 } // namespace lagoonward
--- a/Lagoonward/Admission/DemandSum.cpp
+++ b/Lagoonward/Admission/DemandSum.cpp
@@ -17,43 +17,45 @@
   const auto [known, isNew] = this->sources.try_emplace(aSource);
   Source& source = known->second;
   if (isNew || source.series != aSeries) {
-    this->Begin(source, aSeries);
+    this->ResetBaseline(source, aSeries);
   }
-  source.heard = this->clock.Now();
+  source.receivedAt = this->clock.Now();
   source.daemons = aDaemons;
-  for (const ClientDemand& told : aDemand) {
+  for (const ClientDemand& reported : aDemand) {
     if (this->totals.size() >= this->settings.maximumClients &&
-        !this->totals.contains(told.client)) {
+        !this->totals.contains(reported.client)) {
       continue;
     }
-    const auto [at, isFirst] = source.parts.try_emplace(told.client);
-    Part& part = at->second;
-    const double more = isFirst ? 0 : std::max(told.admittedTotal - part.last, 0.0);
-    ClientDemand& total = this->totals[told.client];
-    total.client = told.client;
-    total.tokensPerSecond += told.tokensPerSecond - part.tokensPerSecond;
-    total.running += told.running - part.running;
-    total.admittedTotal += more;
-    part = { told.tokensPerSecond, told.running, told.admittedTotal, part.added + more };
+    const auto [at, isFirst] = source.records.try_emplace(reported.client);
+    ClientRecord& record = at->second;
+    const double newlyAdmitted =
+      isFirst ? 0 : std::max(reported.admittedTotal - record.lastTotal, 0.0);
+    ClientDemand& total = this->totals[reported.client];
+    total.client = reported.client;
+    total.tokensPerSecond += reported.tokensPerSecond - record.tokensPerSecond;
+    total.running += reported.running - record.running;
+    total.admittedTotal += newlyAdmitted;
+    record = { reported.tokensPerSecond, reported.running, reported.admittedTotal,
+               record.increase + newlyAdmitted };
   }
 }
 
 void
-DemandSum::Begin(Source& aSource, std::uint64_t aSeries)
+DemandSum::ResetBaseline(Source& aSource, std::uint64_t aSeries)
 {
-  this->Withdraw(aSource);
-  aSource.parts.clear();
+  this->SubtractSource(aSource);
+  aSource.records.clear();
   aSource.series = aSeries;
-  aSource.entry = ++this->entries;
+  aSource.generation = ++this->lastGeneration;
 }
 
 void
-DemandSum::Withdraw(const Source& aSource)
+DemandSum::SubtractSource(const Source& aSource)
 {
-  for (const auto& [client, part] : aSource.parts) {
+  for (const auto& [client, record] : aSource.records) {
     ClientDemand& total = this->totals[client];
-    total.tokensPerSecond = std::max(total.tokensPerSecond - part.tokensPerSecond, 0.0);
-    total.running -= part.running;
+    total.tokensPerSecond = std::max(total.tokensPerSecond - record.tokensPerSecond, 0.0);
+    total.running -= record.running;
   }
 }
 
@@ -61,33 +63,33 @@
 DemandSum::SumOfOthers(std::uint64_t aSource) const
 {
   const auto known = this->sources.find(aSource);
-  return this->SumWithout(known == this->sources.end() ? nullptr : &known->second);
+  return this->SumExcept(known == this->sources.end() ? nullptr : &known->second);
 }
 
 DemandOfOthers
 DemandSum::Sum() const
 {
-  return this->SumWithout(nullptr);
+  return this->SumExcept(nullptr);
 }
 
 DemandOfOthers
-DemandSum::SumWithout(const Source* aSource) const
+DemandSum::SumExcept(const Source* aSource) const
 {
   DemandOfOthers sum;
-  sum.series = aSource == nullptr ? 0 : aSource->entry;
+  sum.series = aSource == nullptr ? 0 : aSource->generation;
   const TimePoint now = this->clock.Now();
   for (const auto& [key, source] : this->sources) {
-    const bool isHeard = now - source.heard <= this->settings.silence;
-    sum.daemons += isHeard && &source != aSource ? source.daemons : 0;
+    const bool isLive = now - source.receivedAt <= this->settings.silence;
+    sum.daemons += isLive && &source != aSource ? source.daemons : 0;
   }
   for (const auto& [client, total] : this->totals) {
     ClientDemand rest = total;
     if (aSource != nullptr) {
-      const auto own = aSource->parts.find(client);
-      const Part part = own == aSource->parts.end() ? Part{} : own->second;
-      rest.tokensPerSecond = std::max(rest.tokensPerSecond - part.tokensPerSecond, 0.0);
-      rest.running -= part.running;
-      rest.admittedTotal -= part.added;
+      const auto own = aSource->records.find(client);
+      const ClientRecord record = own == aSource->records.end() ? ClientRecord{} : own->second;
+      rest.tokensPerSecond = std::max(rest.tokensPerSecond - record.tokensPerSecond, 0.0);
+      rest.running -= record.running;
+      rest.admittedTotal -= record.increase;
     }
     sum.demand.push_back(rest);
   }
@@ -99,11 +101,11 @@
 {
   const TimePoint now = this->clock.Now();
   for (auto source = this->sources.begin(); source != this->sources.end();) {
-    if (now - source->second.heard <= this->settings.memory) {
+    if (now - source->second.receivedAt <= this->settings.memory) {
       ++source;
       continue;
     }
-    this->Withdraw(source->second);
+    this->SubtractSource(source->second);
     source = this->sources.erase(source);
   }
 }
--- a/Lagoonward/Admission/DemandSum.h
+++ b/Lagoonward/Admission/DemandSum.h
@@ -6,68 +6,69 @@
 
 namespace lagoonward {
 
-/// Tunables of a sum of demand.
+/// Settings of the aggregation of demand.
 struct DemandSumSettings
 {
   Milliseconds silence{
     1600
-  }; ///< A source not heard of for so long is not spoken for: as for pooled limits.
-  Milliseconds memory{ 20'000 }; ///< After this a silent source is forgotten.
+  }; ///< The daemons of a source that sends nothing for this long are not counted. Same as for pooled limits.
+  Milliseconds memory{ 20'000 }; ///< A source that sends nothing for this long is removed.
   std::size_t maximumClients =
-    4096; ///< Clients beyond are left out: no deployment has as many accounts.
+    4096; ///< Further clients are ignored; no deployment has as many accounts.
 };
 
-/// Sums what several sources, daemons or whole groups of them, tell of the clients' demand, and tells each of them
-/// the sum of the others. A message and an answer take time in proportion to the clients that one source names.
+/// Aggregates the clients' demand reported by several sources (daemons or groups of daemons) and returns to each source
+/// the sum over the others. Handling a report and computing a sum take time proportional to the number of clients that one
+/// source reports.
 ///
-/// Admitted totals in a sum only grow, whatever becomes of a source: what it told first is where it begins to count, and
-/// what it has added stays when it goes. Not thread-safe.
+/// Admitted totals in a sum never decrease: the first total that a source reports is its baseline, and the increase since
+/// then stays in the sum after the source is removed. Not thread-safe.
 class DemandSum
 {
 public:
   DemandSum(const DemandSumSettings& aSettings, const Clock& aClock);
 
-  /// A source has told its demand and totals.
-  /// @param aSeries   names whose count its totals are; another one begins anew
-  /// @param aDaemons  for how many daemons it speaks
+  /// Applies a source's report of its demand and totals.
+  /// @param aSeries   identifies the counter series of its totals; a different one starts a new baseline
+  /// @param aDaemons  number of daemons that the source represents
   void OnTold(std::uint64_t aSource, std::uint64_t aSeries, int aDaemons,
               std::span<const ClientDemand> aDemand);
 
-  /// The sum over all sources but one. Its series changes when that source begins anew here.
+  /// The sum over all sources but one. Its series changes when this source is added again or starts a new baseline.
   [[nodiscard]] DemandOfOthers SumOfOthers(std::uint64_t aSource) const;
 
   /// The sum over all sources.
   [[nodiscard]] DemandOfOthers Sum() const;
 
-  /// Forgets sources that have been silent for long. To be called some times a second.
+  /// Removes sources that have sent nothing for `memory`. Must be called several times a second.
   void Forget();
 
 private:
-  /// One client at one source.
-  struct Part
+  /// What one source reported about one client.
+  struct ClientRecord
   {
     double tokensPerSecond = 0;
     int running = 0;
-    double last = 0;  ///< Admitted in all, as it told last.
-    double added = 0; ///< Of that, since it began to count here.
+    double lastTotal = 0; ///< Admitted total in the last report.
+    double increase = 0;  ///< Growth of the admitted total since the baseline.
   };
 
   struct Source
   {
-    TimePoint heard;
+    TimePoint receivedAt;
     std::uint64_t series = 0;
-    std::uint64_t entry = 0; ///< Differs each time that it begins anew here.
+    std::uint64_t generation = 0; ///< Unique for each baseline of each source.
     int daemons = 0;
-    std::unordered_map<std::uint64_t, Part> parts; ///< By client.
+    std::unordered_map<std::uint64_t, ClientRecord> records; ///< By client.
   };
 
-  void Begin(Source& aSource, std::uint64_t aSeries);
-  void Withdraw(const Source& aSource);
-  [[nodiscard]] DemandOfOthers SumWithout(const Source* aSource) const;
+  void ResetBaseline(Source& aSource, std::uint64_t aSeries);
+  void SubtractSource(const Source& aSource);
+  [[nodiscard]] DemandOfOthers SumExcept(const Source* aSource) const;
 
   DemandSumSettings settings;
   const Clock& clock;
-  std::uint64_t entries = 0;
+  std::uint64_t lastGeneration = 0;
   std::unordered_map<std::uint64_t, Source> sources;
   std::unordered_map<std::uint64_t, ClientDemand> totals; ///< By client, over all sources.
 };
--- a/Lagoonward/Admission/DemandView.cpp
+++ b/Lagoonward/Admission/DemandView.cpp
@@ -24,32 +24,33 @@
 }
 
 void
-DemandView::OnOwnSent(std::span<const ClientDemand> aDemand)
+DemandView::OnOwnDemandSent(std::span<const ClientDemand> aDemand)
 {
-  this->sentBefore = std::move(this->sentLast);
-  this->sentLast.assign(aDemand.begin(), aDemand.end());
+  this->previousSent = std::move(this->lastSent);
+  this->lastSent.assign(aDemand.begin(), aDemand.end());
 
-  this->DropSilent();
+  this->RemoveSilentPeers();
 }
 
 void
-DemandView::DropSilent() const
+DemandView::RemoveSilentPeers() const
 {
-  if (this->peers.empty() || this->clock.Now() - this->oldest <= this->settings.peerTimeout) {
+  if (this->peers.empty() ||
+      this->clock.Now() - this->oldestReceivedAt <= this->settings.peerTimeout) {
     return;
   }
-  this->oldest = TimePoint::max();
+  this->oldestReceivedAt = TimePoint::max();
   for (auto peer = this->peers.begin(); peer != this->peers.end();) {
     if (this->IsLive(peer->second)) {
-      this->oldest = std::min(this->oldest, peer->second.heard);
+      this->oldestReceivedAt = std::min(this->oldestReceivedAt, peer->second.receivedAt);
       ++peer;
       continue;
     }
-    this->Add(peer->second, -1);
+    this->AddToSums(peer->second, -1);
     peer = this->peers.erase(peer);
   }
   if (this->peers.empty()) {
-    // Nothing is left of what rounding may have added up
+    // Clears accumulated rounding errors
     this->sums.clear();
   }
 }
@@ -60,19 +61,19 @@
   const auto [known, isNew] = this->peers.try_emplace(aDaemon);
   Peer& peer = known->second;
   if (!isNew) {
-    this->Add(peer, -1);
+    this->AddToSums(peer, -1);
   }
-  peer.heard = this->clock.Now();
-  this->oldest = std::min(this->oldest, peer.heard);
+  peer.receivedAt = this->clock.Now();
+  this->oldestReceivedAt = std::min(this->oldestReceivedAt, peer.receivedAt);
   peer.demand.assign(aDemand.begin(), aDemand.end());
   peer.daemons = aDaemons;
-  this->Add(peer, 1);
+  this->AddToSums(peer, 1);
 }
 
 void
-DemandView::Add(const Peer& aPeer, int aSign) const
+DemandView::AddToSums(const Peer& aPeer, int aSign) const
 {
-  this->daemonsAtPeers += aSign * aPeer.daemons;
+  this->peerDaemons += aSign * aPeer.daemons;
   for (const ClientDemand& demand : aPeer.demand) {
     PeerSum& sum = this->sums[demand.client];
     sum.tokensPerSecond = std::max(sum.tokensPerSecond + aSign * demand.tokensPerSecond, 0.0);
@@ -83,31 +84,31 @@
 ClientShare
 DemandView::ShareOf(std::uint64_t aClient) const
 {
-  this->DropSilent();
-  const double own = Find(this->sentBefore, aClient).tokensPerSecond;
+  this->RemoveSilentPeers();
+  const double own = Find(this->previousSent, aClient).tokensPerSecond;
   const auto found = this->sums.find(aClient);
   const PeerSum others = found == this->sums.end() ? PeerSum{} : found->second;
   const double total = own + others.tokensPerSecond;
-  const double equal = 1.0 / this->LiveDaemons();
+  const double evenFraction = 1.0 / this->LiveDaemons();
   ClientShare result;
   result.runningAtPeers = others.running;
-  result.share = total > 0
-                   ? this->settings.equalPart * equal + (1 - this->settings.equalPart) * own / total
-                   : equal;
+  result.rateShare = total > 0 ? this->settings.evenShare * evenFraction +
+                                   (1 - this->settings.evenShare) * own / total
+                               : evenFraction;
   return result;
 }
 
 int
 DemandView::LiveDaemons() const
 {
-  this->DropSilent();
-  return this->daemonsAtPeers + 1;
+  this->RemoveSilentPeers();
+  return this->peerDaemons + 1;
 }
 
 bool
 DemandView::IsLive(const Peer& aPeer) const
 {
-  return this->clock.Now() - aPeer.heard <= this->settings.peerTimeout;
+  return this->clock.Now() - aPeer.receivedAt <= this->settings.peerTimeout;
 }
 
 } // namespace lagoonward
--- a/Lagoonward/Admission/EndpointLimits.cpp
+++ b/Lagoonward/Admission/EndpointLimits.cpp
@@ -28,13 +28,13 @@
     return;
   }
   const std::lock_guard lock(this->mutex);
-  this->MakeRoom();
-  const auto [entry, isNew] = this->known.try_emplace(std::string(aEndpoint));
+  this->EvictOldest();
+  const auto [entry, isNew] = this->limits.try_emplace(std::string(aEndpoint));
   if (isNew || entry->second.perSecond != aPerSecond) {
     kLog.Event("endpoint_limit", { { "endpoint", aEndpoint }, { "per_second", aPerSecond } });
   }
   entry->second.perSecond = aPerSecond;
-  entry->second.heardAt = this->clock.Now();
+  entry->second.receivedAt = this->clock.Now();
 }
 
 void
@@ -42,17 +42,17 @@
 {
   {
     const std::lock_guard lock(this->mutex);
-    if (this->known.empty() || this->known.erase(std::string(aEndpoint)) == 0) {
+    if (this->limits.empty() || this->limits.erase(std::string(aEndpoint)) == 0) {
       return;
     }
   }
   kLog.Event("endpoint_limit_lifted", { { "endpoint", aEndpoint } });
-  if (this->lifted) {
-    PermitRequest news;
-    news.endpoint = HashBytes(aEndpoint);
-    news.isLimited = false;
-    news.wants = false;
-    this->lifted(news);
+  if (this->liftedListener) {
+    PermitRequest update;
+    update.endpoint = HashBytes(aEndpoint);
+    update.isLimited = false;
+    update.wants = false;
+    this->liftedListener(update);
   }
 }
 
@@ -60,15 +60,15 @@
 EndpointLimits::OnMalformed(std::string_view aEndpoint)
 {
   const std::lock_guard lock(this->mutex);
-  if (!std::exchange(this->malformedTold, true)) {
+  if (!std::exchange(this->isMalformedLogged, true)) {
     kLog.Event(LogLevel::Warning, "endpoint_limit_malformed", { { "endpoint", aEndpoint } });
   }
 }
 
 void
-EndpointLimits::OnLifted(std::function<void(const PermitRequest& aNews)> aListener)
+EndpointLimits::OnLifted(std::function<void(const PermitRequest& aUpdate)> aListener)
 {
-  this->lifted = std::move(aListener);
+  this->liftedListener = std::move(aListener);
 }
 
 std::optional<PermitRequest>
@@ -76,14 +76,15 @@
 {
   const std::lock_guard lock(this->mutex);
   const auto found =
-    this->known.empty() ? this->known.end() : this->known.find(std::string(aEndpoint));
-  if (found == this->known.end()) {
+    this->limits.empty() ? this->limits.end() : this->limits.find(std::string(aEndpoint));
+  if (found == this->limits.end()) {
     return std::nullopt;
   }
   PermitRequest request;
   request.endpoint = HashBytes(aEndpoint);
   request.perSecond = found->second.perSecond;
-  request.age = std::chrono::floor<Milliseconds>(this->clock.Now() - found->second.heardAt).count();
+  request.age =
+    std::chrono::floor<Milliseconds>(this->clock.Now() - found->second.receivedAt).count();
   return request;
 }
 
@@ -91,12 +92,12 @@
 EndpointLimits::OnNoPermit(std::string_view aEndpoint, const PermitReply& aReply)
 {
   const std::lock_guard lock(this->mutex);
-  const auto found = this->known.find(std::string(aEndpoint));
-  if (found == this->known.end()) {
+  const auto found = this->limits.find(std::string(aEndpoint));
+  if (found == this->limits.end()) {
     return;
   }
   if (aReply.answer == PermitAnswer::Unlimited) {
-    this->known.erase(found);
+    this->limits.erase(found);
     return;
   }
   const Milliseconds wait =
@@ -110,7 +111,7 @@
   const std::lock_guard lock(this->mutex);
   std::vector<std::string> blocked;
   const TimePoint now = this->clock.Now();
-  for (const auto& [endpoint, each] : this->known) {
+  for (const auto& [endpoint, each] : this->limits) {
     if (each.blockedUntil > now) {
       blocked.push_back(endpoint);
     }
@@ -123,7 +124,7 @@
 {
   const std::lock_guard lock(this->mutex);
   std::vector<std::string> limited;
-  for (const auto& each : this->known) {
+  for (const auto& each : this->limits) {
     limited.push_back(each.first);
   }
   return limited;
@@ -136,8 +137,8 @@
   const TimePoint now = this->clock.Now();
   std::optional<Milliseconds> shortest;
   for (const std::string& endpoint : aEndpoints) {
-    const auto found = this->known.find(endpoint);
-    if (found != this->known.end() && found->second.blockedUntil > now) {
+    const auto found = this->limits.find(endpoint);
+    if (found != this->limits.end() && found->second.blockedUntil > now) {
       const auto left = std::chrono::ceil<Milliseconds>(found->second.blockedUntil - now);
       shortest = shortest ? std::min(*shortest, left) : left;
     }
@@ -146,15 +147,15 @@
 }
 
 void
-EndpointLimits::MakeRoom()
+EndpointLimits::EvictOldest()
 {
-  if (this->known.size() < this->settings.maximumEndpoints) {
+  if (this->limits.size() < this->settings.maximumEndpoints) {
     return;
   }
-  this->known.erase(std::min_element(this->known.begin(), this->known.end(),
-                                     [](const auto& aLeft, const auto& aRight) {
-                                       return aLeft.second.heardAt < aRight.second.heardAt;
-                                     }));
+  this->limits.erase(std::min_element(this->limits.begin(), this->limits.end(),
+                                      [](const auto& aLeft, const auto& aRight) {
+                                        return aLeft.second.receivedAt < aRight.second.receivedAt;
+                                      }));
 }
 
 } // namespace lagoonward
--- a/Lagoonward/Admission/EndpointLimits.h
+++ b/Lagoonward/Admission/EndpointLimits.h
@@ -15,69 +15,71 @@
 
 namespace lagoonward {
 
-/// Tunables of the limits that endpoints name.
+/// Settings of the rate limits that endpoints advertise.
 struct EndpointLimitSettings
 {
-  double largest = 1e6; ///< Requests per second; a larger limit is none.
+  double largest = 1e6; ///< Requests per second; a larger limit is treated as none.
 
-  /// How long an endpoint gets nothing from here where no keeper answers.
+  /// How long this daemon sends an endpoint nothing if no owner of its limit has replied.
   Milliseconds unanswered{ 500 };
 
-  std::size_t maximumEndpoints = 4096; ///< The one heard of longest ago goes first.
+  std::size_t maximumEndpoints =
+    4096; ///< Beyond, the endpoint whose limit was received longest ago is evicted.
 };
 
-/// Which endpoints have named how many requests per second they take from all daemons together, as answers here have said,
-/// and which of them must get nothing from here for now. Thread-safe; does no I/O.
+/// Rate limits (requests per second over all daemons) that endpoints advertised in answers received by this daemon, and
+/// the endpoints that this daemon must not send to for now. Thread-safe; performs no I/O.
 class EndpointLimits
 {
 public:
   EndpointLimits(const EndpointLimitSettings& aSettings, const Clock& aClock);
 
-  /// An answer of an endpoint names its limit.
+  /// Handles an answer of an endpoint that advertises a limit.
   /// @param aPerSecond  requests; finite, not negative
   void OnNamed(std::string_view aEndpoint, double aPerSecond);
 
-  /// An answer of an endpoint names none: one named before does not hold any more.
+  /// Handles an answer of an endpoint without a limit: an earlier limit no longer applies.
   void OnNoneNamed(std::string_view aEndpoint);
 
-  /// An answer names a limit that cannot be understood: what was named before holds on.
+  /// Handles an answer whose limit cannot be parsed: an earlier limit still applies.
   void OnMalformed(std::string_view aEndpoint);
 
-  /// Hears of each limit that does not hold any more, to tell the keepers. Before any other call.
-  void OnLifted(std::function<void(const PermitRequest& aNews)> aListener);
+  /// Sets the listener that is called for each limit that no longer applies, in order to notify the owners. Must be called
+  /// before any other method.
+  void OnLifted(std::function<void(const PermitRequest& aUpdate)> aListener);
 
-  /// What to ask for before a request is sent to an endpoint; nothing where it has named no limit.
+  /// Returns the permit request to make before a request is sent to an endpoint; nothing if it has advertised no limit.
   [[nodiscard]] std::optional<PermitRequest> WantedPermit(std::string_view aEndpoint);
 
-  /// What a keeper has said, where it was no permit.
+  /// Handles an owner's reply that grants no permit.
   void OnNoPermit(std::string_view aEndpoint, const PermitReply& aReply);
 
-  /// Endpoints that must get nothing from here for now.
+  /// Endpoints that this daemon must not send to for now.
   [[nodiscard]] std::vector<std::string> Blocked();
 
-  /// Endpoints that have named a limit.
+  /// Endpoints that have advertised a limit.
   [[nodiscard]] std::vector<std::string> Limited();
 
-  /// How long until the first of these endpoints may be asked for again; nothing where none of them is blocked.
+  /// Time until the first of these endpoints is unblocked; nothing if none of them is blocked.
   [[nodiscard]] std::optional<Milliseconds> UntilNextUnblocked(
     std::span<const std::string> aEndpoints);
 
 private:
-  struct Known
+  struct LimitState
   {
     double perSecond = 0;
-    TimePoint heardAt;
+    TimePoint receivedAt;
     TimePoint blockedUntil = TimePoint::min();
   };
 
-  void MakeRoom();
+  void EvictOldest();
 
   EndpointLimitSettings settings;
   const Clock& clock;
-  std::mutex mutex; ///< Guards what follows.
-  std::unordered_map<std::string, Known> known;
-  std::function<void(const PermitRequest&)> lifted;
-  bool malformedTold = false; ///< A malformed limit was written down.
+  std::mutex mutex; ///< Guards all below.
+  std::unordered_map<std::string, LimitState> limits;
+  std::function<void(const PermitRequest&)> liftedListener;
+  bool isMalformedLogged = false; ///< A malformed limit has been logged.
 };
 
 } // namespace lagoonward
--- a/Lagoonward/Admission/PermitBook.cpp
+++ b/Lagoonward/Admission/PermitBook.cpp
@@ -22,19 +22,19 @@
   }
   const std::lock_guard lock(this->mutex);
   const TimePoint now = this->clock.Now();
-  Bucket* bucket = this->Find(aRequest, aIsSettled, now);
+  Bucket* bucket = this->FindOrCreate(aRequest, aIsSettled, now);
   if (bucket == nullptr) {
     return { PermitAnswer::Wait, static_cast<std::uint32_t>(this->settings.longestWait.count()) };
   }
-  this->Hear(*bucket, aRequest, now);
+  this->UpdateLimit(*bucket, aRequest, now);
   if (!aRequest.wants || !bucket->isLimited) {
     return { PermitAnswer::Unlimited, 0 };
   }
-  return this->Take(*bucket, aRole, now);
+  return this->TryGrant(*bucket, aRole, now);
 }
 
 PermitBook::Bucket*
-PermitBook::Find(const PermitRequest& aRequest, bool aIsSettled, TimePoint aNow)
+PermitBook::FindOrCreate(const PermitRequest& aRequest, bool aIsSettled, TimePoint aNow)
 {
   const auto found = this->buckets.find(aRequest.endpoint);
   if (found != this->buckets.end()) {
@@ -42,15 +42,15 @@
   }
   if (this->buckets.size() >= this->settings.maximumEndpoints) {
     std::erase_if(this->buckets, [&](const auto& aEach) {
-      return aNow - aEach.second.filledAt > this->settings.idle;
+      return aNow - aEach.second.refilledAt > this->settings.idle;
     });
   }
   if (this->buckets.size() >= this->settings.maximumEndpoints) {
     return nullptr;
   }
   Bucket bucket;
-  bucket.filledAt = aNow;
-  bucket.heardAt = TimePoint::min();
+  bucket.refilledAt = aNow;
+  bucket.receivedAt = TimePoint::min();
   if (aIsSettled) {
     bucket.permits = this->settings.burst;
     bucket.primarySince = aNow - this->settings.takeover;
@@ -59,50 +59,50 @@
 }
 
 void
-PermitBook::Hear(Bucket& aBucket, const PermitRequest& aRequest, TimePoint aNow) const
+PermitBook::UpdateLimit(Bucket& aBucket, const PermitRequest& aRequest, TimePoint aNow) const
 {
-  const TimePoint heardAt = aNow - std::min(Milliseconds(aRequest.age), this->settings.idle);
-  if (heardAt < aBucket.heardAt) {
+  const TimePoint receivedAt = aNow - std::min(Milliseconds(aRequest.age), this->settings.idle);
+  if (receivedAt < aBucket.receivedAt) {
     return;
   }
-  aBucket.heardAt = heardAt;
+  aBucket.receivedAt = receivedAt;
   aBucket.isLimited = aRequest.isLimited;
   aBucket.perSecond = std::max(aRequest.perSecond, this->settings.least);
 }
 
 double
-PermitBook::RateOf(Bucket& aBucket, ReserveRole aRole, TimePoint aNow) const
+PermitBook::RefillRate(Bucket& aBucket, ReserveRole aRole, TimePoint aNow) const
 {
   if (aRole != ReserveRole::Primary) {
     aBucket.primarySince.reset();
-    return aBucket.perSecond * this->settings.backupPart;
+    return aBucket.perSecond * this->settings.backupShare;
   }
   if (!aBucket.primarySince) {
     aBucket.primarySince = aNow;
   }
-  const bool isNew = aNow - *aBucket.primarySince < this->settings.takeover;
-  return aBucket.perSecond * (isNew ? this->settings.backupPart : 1);
+  const bool isTakingOver = aNow - *aBucket.primarySince < this->settings.takeover;
+  return aBucket.perSecond * (isTakingOver ? this->settings.backupShare : 1);
 }
 
 PermitReply
-PermitBook::Take(Bucket& aBucket, ReserveRole aRole, TimePoint aNow) const
+PermitBook::TryGrant(Bucket& aBucket, ReserveRole aRole, TimePoint aNow) const
 {
-  const double rate = this->RateOf(aBucket, aRole, aNow);
-  const double most =
+  const double rate = this->RefillRate(aBucket, aRole, aNow);
+  const double capacity =
     aRole == ReserveRole::Primary ? this->settings.burst : this->settings.backupBurst;
-  const std::chrono::duration<double> since = aNow - aBucket.filledAt;
-  aBucket.permits = std::min(aBucket.permits + rate * since.count(), most);
-  aBucket.filledAt = aNow;
+  const std::chrono::duration<double> elapsed = aNow - aBucket.refilledAt;
+  aBucket.permits = std::min(aBucket.permits + rate * elapsed.count(), capacity);
+  aBucket.refilledAt = aNow;
   if (aBucket.permits >= 1) {
     aBucket.permits -= 1;
-    aBucket.refused = 0;
+    aBucket.refusals = 0;
     return { PermitAnswer::Granted, 0 };
   }
-  // Those who come before have the next ones
-  const double seconds = (1 - aBucket.permits + aBucket.refused) / rate;
-  ++aBucket.refused;
-  const double longest = std::chrono::duration<double>(this->settings.longestWait).count();
-  const auto wait = static_cast<std::uint32_t>(std::ceil(std::min(seconds, longest) * 1000));
+  // The next permits are expected to go to the daemons refused before this one
+  const double seconds = (1 - aBucket.permits + aBucket.refusals) / rate;
+  ++aBucket.refusals;
+  const double longestSeconds = std::chrono::duration<double>(this->settings.longestWait).count();
+  const auto wait = static_cast<std::uint32_t>(std::ceil(std::min(seconds, longestSeconds) * 1000));
   return { PermitAnswer::Wait, std::max(wait, 1U) };
 }
 
--- a/Lagoonward/Admission/PermitBook.h
+++ b/Lagoonward/Admission/PermitBook.h
@@ -10,31 +10,32 @@
 
 namespace lagoonward {
 
-/// Tunables of permits to send to endpoints that name a limit.
+/// Settings of permits to send to endpoints that advertise a limit.
 struct PermitSettings
 {
   double least =
-    0.25; ///< Requests per second where an endpoint takes none: else nobody hears when it does again.
-  double burst = 2;        ///< Permits that the primary keeper gives at once.
-  double backupBurst = 1;  ///< The same for the backup.
-  double backupPart = 0.2; ///< Of the limit, which the backup gives beside the primary.
+    0.25; ///< Lowest rate in requests per second, also for a limit of 0: without requests, no answer would show a raised limit.
+  double burst = 2;         ///< Permits that the primary owner grants at once.
+  double backupBurst = 1;   ///< The same for the backup owner.
+  double backupShare = 0.2; ///< Fraction of the limit that the backup grants beside the primary.
 
-  /// So long after it became a primary a keeper gives only a backup's part: the one before may not know yet.
+  /// For this long after it became the primary, an owner grants only a backup's share: the previous primary may not have
+  /// learned of the change yet.
   Milliseconds takeover{ 5000 };
 
-  Milliseconds longestWait{ 2000 };    ///< That is given to those who get none.
-  Milliseconds idle{ 600'000 };        ///< An endpoint nobody asked about for so long is forgotten.
-  std::size_t maximumEndpoints = 4096; ///< Beyond, nobody gets a permit for one more.
+  Milliseconds longestWait{ 2000 };    ///< Longest wait in a reply that grants no permit.
+  Milliseconds idle{ 600'000 };        ///< An endpoint without requests for this long is removed.
+  std::size_t maximumEndpoints = 4096; ///< Beyond, no permits are granted for further endpoints.
 };
 
-/// Asks whether one request may be sent to an endpoint, and tells what the asker has last heard of its limit.
+/// Requests a permit to send one request to an endpoint, and reports the limit that the sender last received from it.
 struct PermitRequest
 {
   std::uint64_t endpoint = 0;
-  bool isLimited = true; ///< Whether the newest answer has named a limit.
+  bool isLimited = true; ///< Whether the newest answer has advertised a limit.
   double perSecond = 0;  ///< That limit.
   std::int64_t age = 0;  ///< Milliseconds since that answer.
-  bool wants = true;     ///< Whether it asks at all, or only tells.
+  bool wants = true;     ///< Whether a permit is requested; false if the limit is only reported.
 
   template<class Archive>
   void serialize(Archive& aArchive)
@@ -43,19 +44,19 @@
   }
 };
 
-/// What a keeper says.
+/// An owner's reply.
 enum class PermitAnswer : std::uint8_t
 {
-  NotKeeper, ///< It keeps nothing of this endpoint, as it sees the daemons.
+  NotKeeper, ///< This daemon does not own the endpoint, according to its list of daemons.
   Granted,   ///< One request may be sent now.
-  Wait,      ///< None for a while.
-  Unlimited, ///< The endpoint has since named no limit.
+  Wait,      ///< No permit; ask again after `wait`.
+  Unlimited, ///< A newer answer of the endpoint has advertised no limit.
 };
 
 struct PermitReply
 {
   PermitAnswer answer = PermitAnswer::NotKeeper;
-  std::uint32_t wait = 0; ///< Milliseconds, of Wait.
+  std::uint32_t wait = 0; ///< Milliseconds; set with Wait.
 
   template<class Archive>
   void serialize(Archive& aArchive)
@@ -64,21 +65,23 @@
   }
 };
 
-/// Gives permits for the endpoints that this daemon keeps. All daemons together send an endpoint what its primary and its
-/// backup give: in any span at most 1.2 times the limit and three more, whoever has the work and however late news are; a
-/// keeper that takes over gives little until the one before must know. Thread-safe; does no I/O.
+/// Grants permits for the endpoints that this daemon owns. All daemons together send an endpoint at most what its primary
+/// and its backup owner grant: in any time span at most 1.2 times the limit and three more, independent of how requests
+/// are spread over daemons and of the delay of updates. An owner that takes over grants only a backup's share until the
+/// previous owner must have learned of the change. Thread-safe; performs no I/O.
 class PermitBook
 {
 public:
   PermitBook(const PermitSettings& aSettings, const Clock& aClock);
 
-  /// Answers a daemon.
-  /// @param aRole       what this daemon is for the endpoint
-  /// @param aIsSettled  whether the daemons have been the same for a while, so that nobody kept it before
+  /// Handles a daemon's request.
+  /// @param aRole       this daemon's role for the endpoint
+  /// @param aIsSettled  whether the list of daemons has been unchanged for Takeover(), so that no other daemon owned the
+  ///                    endpoint before
   [[nodiscard]] PermitReply Serve(const PermitRequest& aRequest, ReserveRole aRole,
                                   bool aIsSettled);
 
-  /// After how long the daemons count as settled.
+  /// Time without changes after which the list of daemons counts as settled.
   [[nodiscard]] Milliseconds Takeover() const { return this->settings.takeover; }
 
 private:
@@ -86,22 +89,23 @@
   {
     bool isLimited = true;
     double perSecond = 0;
-    TimePoint heardAt; ///< When an answer said so.
+    TimePoint receivedAt; ///< Time of the endpoint's answer with this limit.
     double permits = 0;
-    TimePoint filledAt;
-    std::optional<TimePoint> primarySince; ///< Nothing while it is no primary.
-    int refused = 0;                       ///< Since the last permit.
+    TimePoint refilledAt;
+    std::optional<TimePoint> primarySince; ///< Empty while this daemon is not the primary.
+    int refusals = 0;                      ///< Since the last grant.
   };
 
-  [[nodiscard]] Bucket* Find(const PermitRequest& aRequest, bool aIsSettled, TimePoint aNow);
-  void Hear(Bucket& aBucket, const PermitRequest& aRequest, TimePoint aNow) const;
-  /// Permits a second that this daemon gives in its role.
-  [[nodiscard]] double RateOf(Bucket& aBucket, ReserveRole aRole, TimePoint aNow) const;
-  [[nodiscard]] PermitReply Take(Bucket& aBucket, ReserveRole aRole, TimePoint aNow) const;
+  [[nodiscard]] Bucket* FindOrCreate(const PermitRequest& aRequest, bool aIsSettled,
+                                     TimePoint aNow);
+  void UpdateLimit(Bucket& aBucket, const PermitRequest& aRequest, TimePoint aNow) const;
+  /// Permits per second that this daemon grants in its role.
+  [[nodiscard]] double RefillRate(Bucket& aBucket, ReserveRole aRole, TimePoint aNow) const;
+  [[nodiscard]] PermitReply TryGrant(Bucket& aBucket, ReserveRole aRole, TimePoint aNow) const;
 
   PermitSettings settings;
   const Clock& clock;
-  std::mutex mutex; ///< Guards what follows.
+  std::mutex mutex; ///< Guards all below.
   std::unordered_map<std::uint64_t, Bucket> buckets;
 };
 
--- a/Lagoonward/Admission/PermitLender.h
+++ b/Lagoonward/Admission/PermitLender.h
@@ -7,34 +7,35 @@
 
 namespace lagoonward {
 
-/// Asks the keepers of an endpoint that names a limit whether a request may be sent there.
+/// Requests permits from the owners of an endpoint that advertises a limit.
 class PermitLender
 {
 public:
   virtual ~PermitLender() = default;
 
-  /// @param aAnswered  called once, from any thread; NotKeeper where nobody answered in time
+  /// Requests a permit to send one request.
+  /// @param aAnswered  called once, from any thread; with NotKeeper if no owner replied in time
   virtual void Ask(const PermitRequest& aRequest,
                    std::function<void(const PermitReply& aReply)> aAnswered) = 0;
 };
 
-/// For a daemon without others: it keeps all endpoints.
+/// Grants permits within the process. For a daemon without peers, which owns all endpoints.
 class LocalPermits final : public PermitLender
 {
 public:
   explicit LocalPermits(const Clock& aClock)
-    : book({}, aClock)
+    : ledger({}, aClock)
   {
   }
 
   void Ask(const PermitRequest& aRequest,
            std::function<void(const PermitReply& aReply)> aAnswered) override
   {
-    aAnswered(this->book.Serve(aRequest, ReserveRole::Primary, true));
+    aAnswered(this->ledger.Serve(aRequest, ReserveRole::Primary, true));
   }
 
 private:
-  PermitBook book;
+  PermitBook ledger;
 };
 
 } // namespace lagoonward
--- a/Lagoonward/Admission/PoisonGuard.cpp
+++ b/Lagoonward/Admission/PoisonGuard.cpp
@@ -12,9 +12,9 @@
 const Log kLog("poison");
 
 std::string_view
-NameOf(PoisonStanding aStanding)
+NameOf(PoisonStanding aStatus)
 {
-  switch (aStanding) {
+  switch (aStatus) {
     case PoisonStanding::Suspect:
       return "suspect";
     case PoisonStanding::Poisoned:
@@ -43,27 +43,27 @@
 PoisonGuard::IsPoisoned(std::uint64_t aRequest)
 {
   const std::lock_guard lock(this->mutex);
-  const Held* known = this->Find(aRequest, this->clock.Now());
-  return known != nullptr && known->standing == PoisonStanding::Poisoned;
+  const StatusEntry* known = this->FindStatus(aRequest, this->clock.Now());
+  return known != nullptr && known->status == PoisonStanding::Poisoned;
 }
 
 bool
 PoisonGuard::IsSuspect(std::uint64_t aRequest)
 {
   const std::lock_guard lock(this->mutex);
-  const Held* known = this->Find(aRequest, this->clock.Now());
-  return known != nullptr && known->standing != PoisonStanding::Cleared;
+  const StatusEntry* known = this->FindStatus(aRequest, this->clock.Now());
+  return known != nullptr && known->status != PoisonStanding::Cleared;
 }
 
 void
 PoisonGuard::OnCrash(const CrashReport& aReport)
 {
-  bool isTold = false;
+  bool isCounted = false;
   {
     const std::lock_guard lock(this->mutex);
-    isTold = this->Count(aReport);
+    isCounted = this->CountCrash(aReport);
   }
-  if (isTold && this->listener) {
+  if (isCounted && this->listener) {
     this->listener(aReport);
   }
 }
@@ -72,70 +72,71 @@
 PoisonGuard::OnToldCrash(const CrashReport& aReport)
 {
   const std::lock_guard lock(this->mutex);
-  static_cast<void>(this->Count(aReport));
+  static_cast<void>(this->CountCrash(aReport));
 }
 
 bool
-PoisonGuard::Count(const CrashReport& aReport)
+PoisonGuard::CountCrash(const CrashReport& aReport)
 {
   const TimePoint now = this->clock.Now();
-  const std::int64_t longest = this->settings.crashMemory.count();
+  const std::int64_t longest = this->settings.crashRetention.count();
   const bool isPlausible = aReport.age >= 0 && aReport.age <= longest && aReport.sentAge >= 0;
-  if (!isPlausible || this->RanWhole(aReport.request, now)) {
+  if (!isPlausible || this->CompletedRecently(aReport.request, now)) {
     return false;
   }
   const TimePoint at = now - Milliseconds(aReport.age);
   const TimePoint sentAt = now - Milliseconds(std::clamp(aReport.sentAge, aReport.age, longest));
   if (!this->crashes.contains(aReport.request)) {
-    this->MakeRoom(now);
+    this->EvictCrashes(now);
   }
   std::vector<Crash>& known = this->crashes[aReport.request];
   std::erase_if(known,
-                [&](const Crash& aEach) { return now - aEach.at > this->settings.crashMemory; });
-  const double weight = aReport.hadBegun ? this->settings.lateCrash : 1;
-  this->Add(known, { aReport.endpoint, aReport.domain, at, weight }, sentAt);
+                [&](const Crash& aEach) { return now - aEach.at > this->settings.crashRetention; });
+  const double weight = aReport.hadBegun ? this->settings.partialAnswerWeight : 1;
+  this->AddCrash(known, { aReport.endpoint, aReport.domain, at, weight }, sentAt);
   const double sum =
     std::accumulate(known.begin(), known.end(), 0.0,
                     [](double aSum, const Crash& aEach) { return aSum + aEach.weight; });
   if (sum >= this->settings.crashesToPoison) {
-    this->Hold(aReport.request, PoisonStanding::Poisoned, now + this->settings.poisonMemory);
+    this->RaiseStatus(aReport.request, PoisonStanding::Poisoned, now + this->settings.poisonMemory);
   } else if (static_cast<int>(known.size()) >= this->settings.crashesToSuspect) {
-    this->Hold(aReport.request, PoisonStanding::Suspect, now + this->settings.poisonMemory);
+    this->RaiseStatus(aReport.request, PoisonStanding::Suspect, now + this->settings.poisonMemory);
   }
   return true;
 }
 
 void
-PoisonGuard::Add(std::vector<Crash>& aKnown, const Crash& aCrash, TimePoint aSentAt) const
+PoisonGuard::AddCrash(std::vector<Crash>& aKnown, const Crash& aCrash, TimePoint aSentAt) const
 {
   for (Crash& each : aKnown) {
-    const auto apart = std::max(each.at, aCrash.at) - std::min(each.at, aCrash.at);
-    // What was sent to another endpoint after an end that the request has seen is a trial of its own
-    const bool sameEvent =
-      each.domain == aCrash.domain && aSentAt <= each.at && apart < this->settings.sameEvent;
+    const auto interval = std::max(each.at, aCrash.at) - std::min(each.at, aCrash.at);
+    // If the request was sent after the earlier endpoint was lost, the second loss is separate evidence
+    const bool sameEvent = each.domain == aCrash.domain && aSentAt <= each.at &&
+                           interval < this->settings.sameEventWindow;
     if (each.endpoint == aCrash.endpoint || sameEvent) {
       each.weight = std::max(each.weight, aCrash.weight);
       return;
     }
   }
   aKnown.push_back(aCrash);
-  // More are of no use to anyone
-  const auto enough =
-    static_cast<std::size_t>(this->settings.crashesToPoison / this->settings.lateCrash);
-  if (aKnown.size() > enough) {
+  // Even if all of them have the lowest weight, these are enough to reach the threshold
+  const auto maximumCrashes =
+    static_cast<std::size_t>(this->settings.crashesToPoison / this->settings.partialAnswerWeight);
+  if (aKnown.size() > maximumCrashes) {
     aKnown.erase(aKnown.begin());
   }
 }
 
 bool
-PoisonGuard::RanWhole(std::uint64_t aRequest, TimePoint aNow)
+PoisonGuard::CompletedRecently(std::uint64_t aRequest, TimePoint aNow)
 {
-  const Held* known = this->Find(aRequest, aNow);
-  if (known != nullptr && known->standing == PoisonStanding::Cleared) {
+  const StatusEntry* known = this->FindStatus(aRequest, aNow);
+  if (known != nullptr && known->status == PoisonStanding::Cleared) {
     return true;
   }
-  const auto ran = this->whole.find(aRequest);
-  return ran != this->whole.end() && aNow - ran->second <= this->settings.wholeMemory;
+  const auto completion = this->completions.find(aRequest);
+  return completion != this->completions.end() &&
+         aNow - completion->second <= this->settings.completionRetention;
 }
 
 void
@@ -143,73 +144,73 @@
 {
   const std::lock_guard lock(this->mutex);
   const TimePoint now = this->clock.Now();
-  this->whole[aRequest] = now;
-  this->wholeOrder.emplace_back(now, aRequest);
-  while (this->wholeOrder.size() > this->settings.maximumWhole ||
-         now - this->wholeOrder.front().first > this->settings.wholeMemory) {
-    const auto [at, request] = this->wholeOrder.front();
-    this->wholeOrder.pop_front();
-    const auto found = this->whole.find(request);
-    if (found != this->whole.end() && found->second == at) {
-      this->whole.erase(found);
+  this->completions[aRequest] = now;
+  this->completionOrder.emplace_back(now, aRequest);
+  while (this->completionOrder.size() > this->settings.maximumCompletions ||
+         now - this->completionOrder.front().first > this->settings.completionRetention) {
+    const auto [at, request] = this->completionOrder.front();
+    this->completionOrder.pop_front();
+    const auto found = this->completions.find(request);
+    if (found != this->completions.end() && found->second == at) {
+      this->completions.erase(found);
     }
   }
-  // Crashes that others have seen of it are told of as soon as they are two
-  const bool wasBlamed = this->crashes.erase(aRequest) > 0;
-  const Held* known = this->Find(aRequest, now);
-  if (wasBlamed || (known != nullptr && known->standing != PoisonStanding::Cleared)) {
-    this->Hold(aRequest, PoisonStanding::Cleared, now + this->settings.wholeMemory);
+  // A request without crashes here needs no status: other daemons send a note once they have counted `crashesToSuspect`
+  const bool hadCrashes = this->crashes.erase(aRequest) > 0;
+  const StatusEntry* known = this->FindStatus(aRequest, now);
+  if (hadCrashes || (known != nullptr && known->status != PoisonStanding::Cleared)) {
+    this->RaiseStatus(aRequest, PoisonStanding::Cleared, now + this->settings.completionRetention);
   }
 }
 
-const PoisonGuard::Held*
-PoisonGuard::Find(std::uint64_t aRequest, TimePoint aNow)
+const PoisonGuard::StatusEntry*
+PoisonGuard::FindStatus(std::uint64_t aRequest, TimePoint aNow)
 {
-  const auto found = this->held.find(aRequest);
-  if (found == this->held.end()) {
+  const auto found = this->statuses.find(aRequest);
+  if (found == this->statuses.end()) {
     return nullptr;
   }
-  if (found->second.until <= aNow) {
-    this->held.erase(found);
+  if (found->second.expiresAt <= aNow) {
+    this->statuses.erase(found);
     return nullptr;
   }
   return &found->second;
 }
 
 void
-PoisonGuard::Hold(std::uint64_t aRequest, PoisonStanding aStanding, TimePoint aUntil)
+PoisonGuard::RaiseStatus(std::uint64_t aRequest, PoisonStanding aStatus, TimePoint aExpiresAt)
 {
   const TimePoint now = this->clock.Now();
-  const Held* known = this->Find(aRequest, now);
-  if (known != nullptr && known->standing >= aStanding) {
+  const StatusEntry* known = this->FindStatus(aRequest, now);
+  if (known != nullptr && known->status >= aStatus) {
     return;
   }
-  if (known == nullptr && this->held.size() >= this->settings.maximumRequests) {
+  if (known == nullptr && this->statuses.size() >= this->settings.maximumRequests) {
     const auto first = std::min_element(
-      this->held.begin(), this->held.end(), [](const auto& aLeft, const auto& aRight) {
-        return std::pair(aLeft.second.standing, aLeft.second.until) <
-               std::pair(aRight.second.standing, aRight.second.until);
+      this->statuses.begin(), this->statuses.end(), [](const auto& aLeft, const auto& aRight) {
+        return std::pair(aLeft.second.status, aLeft.second.expiresAt) <
+               std::pair(aRight.second.status, aRight.second.expiresAt);
       });
-    this->held.erase(first);
+    this->statuses.erase(first);
   }
-  this->held[aRequest] = { aStanding, aUntil };
-  if (aStanding == PoisonStanding::Cleared) {
+  this->statuses[aRequest] = { aStatus, aExpiresAt };
+  if (aStatus == PoisonStanding::Cleared) {
     this->crashes.erase(aRequest);
   }
-  kLog.Event(aStanding == PoisonStanding::Poisoned ? LogLevel::Warning : LogLevel::Info,
-             NameOf(aStanding),
+  kLog.Event(aStatus == PoisonStanding::Poisoned ? LogLevel::Warning : LogLevel::Info,
+             NameOf(aStatus),
              { { "print", aRequest },
-               { "for_ms", std::chrono::floor<Milliseconds>(aUntil - now).count() } });
+               { "for_ms", std::chrono::floor<Milliseconds>(aExpiresAt - now).count() } });
 }
 
 void
-PoisonGuard::MakeRoom(TimePoint aNow)
+PoisonGuard::EvictCrashes(TimePoint aNow)
 {
   if (this->crashes.size() < this->settings.maximumRequests) {
     return;
   }
   std::erase_if(this->crashes, [&](const auto& aEach) {
-    return aNow - aEach.second.back().at > this->settings.crashMemory;
+    return aNow - aEach.second.back().at > this->settings.crashRetention;
   });
   if (this->crashes.size() < this->settings.maximumRequests) {
     return;
@@ -227,17 +228,17 @@
 {
   const std::lock_guard lock(this->mutex);
   const TimePoint now = this->clock.Now();
-  std::erase_if(this->held, [&](const auto& aEach) { return aEach.second.until <= now; });
+  std::erase_if(this->statuses, [&](const auto& aEach) { return aEach.second.expiresAt <= now; });
   std::vector<PoisonNote> notes;
-  for (const auto& [request, each] : this->held) {
-    const auto left = std::chrono::floor<Milliseconds>(each.until - now);
-    if (left > this->settings.noteMargin) {
-      notes.push_back({ request, each.standing, static_cast<std::uint32_t>(left.count()) });
+  for (const auto& [request, each] : this->statuses) {
+    const auto remaining = std::chrono::floor<Milliseconds>(each.expiresAt - now);
+    if (remaining > this->settings.minimumNoteLifetime) {
+      notes.push_back({ request, each.status, static_cast<std::uint32_t>(remaining.count()) });
     }
   }
   if (notes.size() > this->settings.maximumNotes) {
     const auto rank = [](const PoisonNote& aNote) {
-      return std::pair(aNote.standing == PoisonStanding::Poisoned, aNote.expiresIn);
+      return std::pair(aNote.status == PoisonStanding::Poisoned, aNote.expiresIn);
     };
     std::sort(notes.begin(), notes.end(), [&](const PoisonNote& aLeft, const PoisonNote& aRight) {
       return rank(aLeft) > rank(aRight);
@@ -253,21 +254,23 @@
   const std::lock_guard lock(this->mutex);
   const TimePoint now = this->clock.Now();
   for (const PoisonNote& note : aNotes) {
-    if (note.standing > PoisonStanding::Cleared) {
+    if (note.status > PoisonStanding::Cleared) {
       continue;
     }
-    const Milliseconds longest = note.standing == PoisonStanding::Cleared
-                                   ? this->settings.wholeMemory
+    const Milliseconds longest = note.status == PoisonStanding::Cleared
+                                   ? this->settings.completionRetention
                                    : this->settings.poisonMemory;
-    const auto left = std::min(Milliseconds(note.expiresIn), longest);
-    // Whoever saw it run whole knows better
-    const auto ran = this->whole.find(note.request);
-    const bool isRefuted = note.standing != PoisonStanding::Cleared && ran != this->whole.end() &&
-                           now - ran->second <= this->settings.wholeMemory;
-    if (isRefuted) {
-      this->Hold(note.request, PoisonStanding::Cleared, ran->second + this->settings.wholeMemory);
+    const auto remaining = std::min(Milliseconds(note.expiresIn), longest);
+    // A successful completion observed by this daemon overrides the note
+    const auto completion = this->completions.find(note.request);
+    const bool isDisproved = note.status != PoisonStanding::Cleared &&
+                             completion != this->completions.end() &&
+                             now - completion->second <= this->settings.completionRetention;
+    if (isDisproved) {
+      this->RaiseStatus(note.request, PoisonStanding::Cleared,
+                        completion->second + this->settings.completionRetention);
     } else {
-      this->Hold(note.request, note.standing, now + left);
+      this->RaiseStatus(note.request, note.status, now + remaining);
     }
   }
 }
@@ -278,8 +281,8 @@
   const std::lock_guard lock(this->mutex);
   const TimePoint now = this->clock.Now();
   return static_cast<int>(
-    std::count_if(this->held.begin(), this->held.end(), [&](const auto& aEach) {
-      return aEach.second.standing == PoisonStanding::Poisoned && aEach.second.until > now;
+    std::count_if(this->statuses.begin(), this->statuses.end(), [&](const auto& aEach) {
+      return aEach.second.status == PoisonStanding::Poisoned && aEach.second.expiresAt > now;
     }));
 }
 
--- a/Lagoonward/Admission/PoisonGuard.h
+++ b/Lagoonward/Admission/PoisonGuard.h
@@ -13,50 +13,52 @@
 
 namespace lagoonward {
 
-/// Tunables of the guard against requests that crash endpoints.
+/// Settings of the filter of requests that crash endpoints.
 struct PoisonSettings
 {
-  /// From here on all daemons are told, so that whoever saw the request run whole can say so.
+  /// Number of crashes from which all daemons are notified, so that a daemon on which the request completed successfully
+  /// can report it.
   int crashesToSuspect = 2;
 
-  /// From here on it is sent to no endpoint.
+  /// Sum of crash weights from which the request is sent to no endpoint.
   int crashesToPoison = 3;
 
-  /// What a crash counts where the request had given part of its answer: such a one is less likely to be to blame.
-  double lateCrash = 0.5;
+  /// Weight of a crash after part of the answer had been received: such a request is less likely to be the cause.
+  double partialAnswerWeight = 0.5;
 
-  /// How long a request stays poisoned. A mended service gets it again after that.
+  /// How long a request stays poisoned. It is sent again after that, so that a fixed service receives it.
   Milliseconds poisonMemory{ 600'000 };
 
-  /// How long crashes count: once the poison has lapsed, one more brings it back.
-  Milliseconds crashMemory{ 1'200'000 };
+  /// How long crashes are counted. Longer than the poisoned status, so that one further crash after its expiry restores it.
+  Milliseconds crashRetention{ 1'200'000 };
 
-  /// What ran whole so lately is not blamed for a crash: it was there by chance.
-  Milliseconds wholeMemory{ 10'000 };
+  /// A request that completed successfully within this time is not blamed for a crash: it ran there by coincidence.
+  Milliseconds completionRetention{ 10'000 };
 
-  /// Endpoints of one failure domain that die this close together die of one event, unless the request was sent to the
-  /// second after the end of the first.
-  Milliseconds sameEvent{ 1000 };
+  /// Endpoints of one failure domain that are lost within this time count as one event, unless the request was sent to the
+  /// second after the first was lost.
+  Milliseconds sameEventWindow{ 1000 };
 
-  /// Notes with less left are not told any more, or daemons would tell them to each other without end.
-  Milliseconds noteMargin{ 2000 };
+  /// Notes with less time left are not sent: otherwise daemons would send them back and forth without end.
+  Milliseconds minimumNoteLifetime{ 2000 };
 
   std::size_t maximumRequests =
-    4096; ///< With crashes; those with the fewest go first, then the oldest.
-  std::size_t maximumWhole = 4096; ///< That ran whole; the oldest go first.
+    4096; ///< With crashes; those with the fewest are evicted first, then the oldest.
+  std::size_t maximumCompletions =
+    4096; ///< Requests that completed successfully; the oldest are evicted first.
   std::size_t maximumNotes =
-    64; ///< Told at once: poisoned requests first, those that last longest.
+    64; ///< In one message: poisoned requests first, then those with the most time left.
 };
 
-/// An endpoint was lost while it had a request.
+/// Reports that an endpoint was lost while it ran a request.
 struct CrashReport
 {
-  std::uint64_t request = 0;  ///< Names what was asked, not its id.
-  std::uint64_t endpoint = 0; ///< Names one life of an endpoint.
+  std::uint64_t request = 0;  ///< Identifies the content of the request; not its id.
+  std::uint64_t endpoint = 0; ///< Identifies one run of an endpoint's process.
   std::uint64_t domain = 0;   ///< Hash of its failure domain.
-  std::int64_t age = 0;       ///< Milliseconds since then.
+  std::int64_t age = 0;       ///< Milliseconds since the loss.
   std::int64_t sentAge = 0;   ///< Milliseconds since the request was sent there.
-  bool hadBegun = false;      ///< Part of its answer had come.
+  bool hadBegun = false;      ///< Part of its answer had been received.
 
   template<class Archive>
   void serialize(Archive& aArchive)
@@ -65,36 +67,36 @@
   }
 };
 
-/// What is held of a request.
+/// Status of a request. A higher value replaces a lower one.
 enum class PoisonStanding : std::uint8_t
 {
-  Suspect,  ///< Endpoints died with it more than once.
-  Poisoned, ///< It crashes endpoints.
-  Cleared,  ///< It ran whole of late. Goes before the others.
+  Suspect,  ///< More than one endpoint crashed while running it.
+  Poisoned, ///< It is considered to crash endpoints.
+  Cleared, ///< It completed successfully within `completionRetention`. Takes precedence over the others.
 };
 
-/// What daemons tell each other of a request.
+/// The status of a request as exchanged between daemons.
 struct PoisonNote
 {
   std::uint64_t request = 0;
-  PoisonStanding standing = PoisonStanding::Suspect;
+  PoisonStanding status = PoisonStanding::Suspect;
   std::uint32_t expiresIn = 0; ///< Milliseconds.
 
   template<class Archive>
   void serialize(Archive& aArchive)
   {
-    aArchive(this->request, this->standing, this->expiresIn);
+    aArchive(this->request, this->status, this->expiresIn);
   }
 };
 
-/// Decides when a request is held to crash the endpoints that run it ("poison request", "query of death"), and keeps the
-/// fleet's endpoints from it. Each crash is told to the daemons that keep the request's key, which count; what they
-/// conclude goes to all daemons with their other news. So the sends that pass after the last crash that is needed are
-/// those of one round of news, however many daemons there are. Thread-safe; does no I/O.
+/// Detects requests that crash the endpoints that run them ("poison request", "query of death") and stops them from being
+/// sent. Each crash is reported to the daemons that own the request's key, which count crashes; the resulting status is
+/// sent to all daemons with their other updates. After the crash that reaches the threshold, further sends are therefore
+/// limited to one round of updates, independent of the number of daemons. Thread-safe; performs no I/O.
 ///
-/// An endpoint that dies takes all that ran there with it, so a crash alone convicts nobody: not the request that ran
-/// whole of late, here or elsewhere, not the one whose endpoints went with their failure domain, and not the one that met
-/// two crashes by chance.
+/// A crashing endpoint fails all requests that run on it, so one crash is not sufficient evidence. A request is not blamed
+/// if it completed successfully a short time ago, on this or another daemon, if its endpoints were lost together with their
+/// failure domain, or if it ran on only two endpoints that crashed.
 class PoisonGuard
 {
 public:
@@ -102,65 +104,68 @@
 
   PoisonGuard(const PoisonSettings& aSettings, const Clock& aClock);
 
-  /// Hears of each crash that was seen here and counts, to tell the keepers. Before any other call.
+  /// Sets the listener that is called for each crash that was observed by this daemon and counted, in order to report it to
+  /// the owners of the request's key. Must be called before any other method.
   void OnReport(Listener aListener);
 
   /// Whether the request must not be sent to any endpoint.
   [[nodiscard]] bool IsPoisoned(std::uint64_t aRequest);
 
-  /// Whether another send could be one crash too many.
+  /// Whether the request is suspect or poisoned, so that one further send could cause one crash more than allowed.
   [[nodiscard]] bool IsSuspect(std::uint64_t aRequest);
 
-  /// An endpoint was lost to this daemon while it had a request; its end was not announced.
+  /// Handles an endpoint that was lost to this daemon, without announcing its end, while it ran a request.
   void OnCrash(const CrashReport& aReport);
 
-  /// Another daemon has seen a crash, and this one keeps the request's key.
+  /// Handles a crash that another daemon observed; this daemon owns the request's key.
   void OnToldCrash(const CrashReport& aReport);
 
-  /// An endpoint has answered the request whole.
+  /// Handles a request that an endpoint completed successfully.
   void OnWhole(std::uint64_t aRequest);
 
-  /// What other daemons are to know.
+  /// Returns the notes to send to other daemons.
   [[nodiscard]] std::vector<PoisonNote> Notes();
 
-  /// What another daemon knows.
+  /// Applies the notes of another daemon.
   void OnNotes(std::span<const PoisonNote> aNotes);
 
-  /// Requests that are poisoned now.
+  /// Number of requests that are poisoned now.
   [[nodiscard]] int Poisoned();
 
 private:
-  /// One endpoint's end.
+  /// One crash of an endpoint.
   struct Crash
   {
     std::uint64_t endpoint = 0;
     std::uint64_t domain = 0;
     TimePoint at;
-    double weight = 1; ///< What it counts.
+    double weight = 1; ///< Contribution to the sum that is compared with `crashesToPoison`.
   };
 
-  struct Held
+  struct StatusEntry
   {
-    PoisonStanding standing = PoisonStanding::Suspect;
-    TimePoint until;
+    PoisonStanding status = PoisonStanding::Suspect;
+    TimePoint expiresAt;
   };
 
-  [[nodiscard]] bool Count(const CrashReport& aReport);
-  /// Adds a crash to those of its request, unless it is one of them.
-  void Add(std::vector<Crash>& aKnown, const Crash& aCrash, TimePoint aSentAt) const;
-  [[nodiscard]] bool RanWhole(std::uint64_t aRequest, TimePoint aNow);
-  [[nodiscard]] const Held* Find(std::uint64_t aRequest, TimePoint aNow);
-  void Hold(std::uint64_t aRequest, PoisonStanding aStanding, TimePoint aUntil);
-  void MakeRoom(TimePoint aNow);
+  /// @return whether the report was counted
+  [[nodiscard]] bool CountCrash(const CrashReport& aReport);
+  /// Adds a crash to those of its request, or merges it with one of the same endpoint or event.
+  void AddCrash(std::vector<Crash>& aKnown, const Crash& aCrash, TimePoint aSentAt) const;
+  [[nodiscard]] bool CompletedRecently(std::uint64_t aRequest, TimePoint aNow);
+  [[nodiscard]] const StatusEntry* FindStatus(std::uint64_t aRequest, TimePoint aNow);
+  void RaiseStatus(std::uint64_t aRequest, PoisonStanding aStatus, TimePoint aExpiresAt);
+  void EvictCrashes(TimePoint aNow);
 
   PoisonSettings settings;
   const Clock& clock;
   Listener listener;
-  std::mutex mutex;                                              ///< Guards what follows.
+  std::mutex mutex;                                              ///< Guards all below.
   std::unordered_map<std::uint64_t, std::vector<Crash>> crashes; ///< By request, the oldest first.
-  std::unordered_map<std::uint64_t, Held> held;
-  std::unordered_map<std::uint64_t, TimePoint> whole; ///< When a request ran whole last.
-  std::deque<std::pair<TimePoint, std::uint64_t>> wholeOrder;
+  std::unordered_map<std::uint64_t, StatusEntry> statuses;       ///< By request.
+  std::unordered_map<std::uint64_t, TimePoint>
+    completions; ///< Time of the last successful completion, by request.
+  std::deque<std::pair<TimePoint, std::uint64_t>> completionOrder;
 };
 
 } // namespace lagoonward
--- a/Lagoonward/Admission/PooledBucket.cpp
+++ b/Lagoonward/Admission/PooledBucket.cpp
@@ -6,16 +6,18 @@
 
 namespace {
 
-/// While a reserve holds at least this part of its capacity, it lends more than is needed at once.
-constexpr double kAmplePart = 0.5;
+/// While a reserve holds at least this fraction of its capacity, it grants the preferred number of tokens instead of the
+/// needed one.
+constexpr double kAmpleFraction = 0.5;
 
-/// Reserves that have refused a loan are asked again at once for this part of it: what is left may do for smaller requests.
-constexpr double kSmallerLoan = 0.5;
+/// After a refusal, requests for at most this fraction of the refused tokens are still sent to the reserves: what they have
+/// left may be enough for smaller requests.
+constexpr double kSmallerRequestRatio = 0.5;
 
-/// Adds to a part until it is full. What a part holds beyond, by loans or since its capacity fell, stays.
-/// @return what it could not hold
+/// Adds tokens up to the capacity. A level above the capacity, after a grant or a decrease of the capacity, is kept.
+/// @return the tokens that did not fit
 double
-Fill(double& aLevel, double aTokens, double aCapacity)
+AddUpTo(double& aLevel, double aTokens, double aCapacity)
 {
   const double room = std::max(aCapacity - aLevel, 0.0);
   const double added = std::min(aTokens, room);
@@ -29,7 +31,7 @@
   : settings(aSettings)
   , startedAt(aNow)
   , advancedAt(aNow)
-  , turnedAt(aNow)
+  , rotatedAt(aNow)
   , refusedUntil(aNow)
 {
 }
@@ -37,23 +39,23 @@
 void
 PooledBucket::Configure(const PooledLimit& aLimit, TimePoint aNow)
 {
-  // Configurations come several times a second, most of them about other things: what was borrowed for a request that is
-  // about to be admitted must not be cut off
-  if (this->configured && aLimit == this->limit) {
+  // Configurations arrive several times a second, mostly with unrelated changes. They must not remove tokens that a reserve
+  // has granted for a request that is about to be admitted
+  if (this->isConfigured && aLimit == this->limit) {
     return;
   }
   this->Advance(aNow);
   this->limit = aLimit;
-  if (!this->configured) {
-    this->configured = true;
-    this->own = this->OwnCapacity(aNow) * this->settings.firstFill;
-    this->others = this->OthersCapacity(aNow) * this->settings.firstFill;
+  if (!this->isConfigured) {
+    this->isConfigured = true;
+    this->localTokens = this->LocalCapacity(aNow) * this->settings.initialFillRatio;
+    this->remoteTokens = this->RemoteCapacity(aNow) * this->settings.initialFillRatio;
   }
-  this->own = std::min(this->own, this->OwnCapacity(aNow));
-  this->reserve = std::min(this->reserve, this->ReserveCapacity());
-  this->others = std::min(this->others, this->OthersCapacity(aNow));
-  this->surplusNew = 0;
-  this->surplusOld = 0;
+  this->localTokens = std::min(this->localTokens, this->LocalCapacity(aNow));
+  this->reserveTokens = std::min(this->reserveTokens, this->ReserveCapacity());
+  this->remoteTokens = std::min(this->remoteTokens, this->RemoteCapacity(aNow));
+  this->currentSurplus = 0;
+  this->previousSurplus = 0;
 }
 
 void
@@ -64,31 +66,31 @@
   }
   this->Advance(aNow);
   this->role = aRole;
-  // Who becomes the primary reserve goes on with what it kept as the backup: nobody else holds that
-  this->reserve = std::min(this->reserve, this->ReserveCapacity());
-  this->others = std::min(this->others, this->OthersCapacity(aNow));
-  this->surplusNew = 0;
-  this->surplusOld = 0;
+  // A backup that becomes the primary keeps the tokens of its reserve, as no other daemon holds them
+  this->reserveTokens = std::min(this->reserveTokens, this->ReserveCapacity());
+  this->remoteTokens = std::min(this->remoteTokens, this->RemoteCapacity(aNow));
+  this->currentSurplus = 0;
+  this->previousSurplus = 0;
 }
 
 double
-PooledBucket::HeardPart(TimePoint aNow) const
+PooledBucket::ReachableFraction(TimePoint aNow) const
 {
-  int heard = 1;
+  int reachable = 1;
   for (const auto& [key, peer] : this->peers) {
-    heard += aNow - peer.heard <= this->settings.silence ? peer.daemons : 0;
+    reachable += aNow - peer.receivedAt <= this->settings.silence ? peer.daemons : 0;
   }
-  return std::min(static_cast<double>(heard) / this->daemons.value_or(1), 1.0);
+  return std::min(static_cast<double>(reachable) / this->daemonCount.value_or(1), 1.0);
 }
 
 double
-PooledBucket::ReservePart() const
+PooledBucket::ReserveShare() const
 {
   switch (this->role) {
     case ReserveRole::Primary:
-      return 1 - this->settings.ownPart - this->settings.backupPart;
+      return 1 - this->settings.localShare - this->settings.backupShare;
     case ReserveRole::Backup:
-      return this->settings.backupPart;
+      return this->settings.backupShare;
     case ReserveRole::None:
       break;
   }
@@ -96,43 +98,43 @@
 }
 
 bool
-PooledBucket::IsCutOff(TimePoint aNow) const
+PooledBucket::IsPartitioned(TimePoint aNow) const
 {
   return this->role == ReserveRole::None && this->unansweredSince &&
          aNow - *this->unansweredSince >= this->settings.silence &&
-         aNow - this->unansweredLast <= this->settings.silence;
+         aNow - this->lastUnansweredAt <= this->settings.silence;
 }
 
 double
-PooledBucket::OwnRate(TimePoint aNow) const
+PooledBucket::LocalRate(TimePoint aNow) const
 {
-  if (this->IsAlone()) {
+  if (this->IsOnlyDaemon()) {
     return this->limit.rate;
   }
-  const double equal = this->limit.rate / *this->daemons;
-  return this->IsCutOff(aNow) ? equal : equal * this->settings.ownPart;
+  const double equalRate = this->limit.rate / *this->daemonCount;
+  return this->IsPartitioned(aNow) ? equalRate : equalRate * this->settings.localShare;
 }
 
 double
-PooledBucket::OwnCapacity(TimePoint aNow) const
+PooledBucket::LocalCapacity(TimePoint aNow) const
 {
-  if (this->IsAlone()) {
+  if (this->IsOnlyDaemon()) {
     return this->limit.capacity + this->limit.slack;
   }
-  const double part = this->IsCutOff(aNow) ? 1 : this->settings.ownPart;
-  return (this->limit.capacity * part + this->limit.slack) / *this->daemons;
+  const double share = this->IsPartitioned(aNow) ? 1 : this->settings.localShare;
+  return (this->limit.capacity * share + this->limit.slack) / *this->daemonCount;
 }
 
 double
 PooledBucket::ReserveCapacity() const
 {
-  return this->IsAlone() ? 0 : this->limit.capacity * this->ReservePart();
+  return this->IsOnlyDaemon() ? 0 : this->limit.capacity * this->ReserveShare();
 }
 
 double
-PooledBucket::OthersCapacity(TimePoint aNow) const
+PooledBucket::RemoteCapacity(TimePoint aNow) const
 {
-  return this->limit.capacity + this->limit.slack - this->OwnCapacity(aNow) -
+  return this->limit.capacity + this->limit.slack - this->LocalCapacity(aNow) -
          this->ReserveCapacity();
 }
 
@@ -144,59 +146,61 @@
     return;
   }
   this->advancedAt = aNow;
-  this->TurnGenerations(aNow);
-  const double ownRate = this->OwnRate(aNow);
-  Fill(this->own, ownRate * seconds, this->OwnCapacity(aNow));
-  if (this->IsAlone()) {
+  this->RotateGenerations(aNow);
+  const double localRate = this->LocalRate(aNow);
+  AddUpTo(this->localTokens, localRate * seconds, this->LocalCapacity(aNow));
+  if (this->IsOnlyDaemon()) {
     return;
   }
-  // Those that are not heard may be cut off, and then use an equal part of the whole rate
-  const double heardRate = this->limit.rate * this->HeardPart(aNow);
-  const double reserveRate = heardRate * this->ReservePart();
-  Fill(this->reserve, reserveRate * seconds, this->ReserveCapacity());
-  const double othersRate = std::max(heardRate - reserveRate - ownRate, 0.0);
-  const double left = Fill(this->others, othersRate * seconds, this->OthersCapacity(aNow));
+  // Unreachable daemons may be partitioned; each of them then uses an equal share of the whole rate
+  const double reachableRate = this->limit.rate * this->ReachableFraction(aNow);
+  const double reserveRate = reachableRate * this->ReserveShare();
+  AddUpTo(this->reserveTokens, reserveRate * seconds, this->ReserveCapacity());
+  const double remoteRate = std::max(reachableRate - reserveRate - localRate, 0.0);
+  const double left = AddUpTo(this->remoteTokens, remoteRate * seconds, this->RemoteCapacity(aNow));
   if (this->role == ReserveRole::Primary) {
-    const double coming = this->reserve + this->surplusNew + this->surplusOld;
-    this->surplusNew += std::clamp(this->ReserveCapacity() - coming, 0.0, left);
+    const double expectedTokens =
+      this->reserveTokens + this->currentSurplus + this->previousSurplus;
+    this->currentSurplus += std::clamp(this->ReserveCapacity() - expectedTokens, 0.0, left);
   }
 }
 
 void
-PooledBucket::TurnGenerations(TimePoint aNow)
+PooledBucket::RotateGenerations(TimePoint aNow)
 {
-  if (aNow - this->turnedAt < this->settings.silence) {
+  if (aNow - this->rotatedAt < this->settings.silence) {
     return;
   }
-  this->turnedAt = aNow;
-  // Nobody has told of having used it for as long as news may take
-  Fill(this->reserve, this->surplusOld, this->ReserveCapacity());
-  this->surplusOld = this->surplusNew;
-  this->surplusNew = 0;
-  this->lentBefore = this->lentNow;
-  this->lentNow = 0;
+  this->rotatedAt = aNow;
+  // No peer has reported the use of the previous surplus within the longest delay of a total
+  AddUpTo(this->reserveTokens, this->previousSurplus, this->ReserveCapacity());
+  this->previousSurplus = this->currentSurplus;
+  this->currentSurplus = 0;
+  this->previousGrants = this->currentGrants;
+  this->currentGrants = 0;
 }
 
 double
 PooledBucket::Take(double aTokens, TimePoint aNow)
 {
-  if (!this->daemons) {
-    const auto left = this->startedAt + this->settings.countPatience - aNow;
+  if (!this->daemonCount) {
+    const auto left = this->startedAt + this->settings.daemonCountTimeout - aNow;
     if (left > TimePoint::duration::zero()) {
       return ToSeconds(left);
     }
-    this->OnInterval(1, aNow);
+    this->OnSendInterval(1, aNow);
   }
   this->Advance(aNow);
-  if (aTokens <= this->own + this->reserve) {
-    const double fromOwn = std::min(aTokens, this->own);
-    this->own -= fromOwn;
-    this->reserve -= aTokens - fromOwn;
-    this->total += aTokens;
+  if (aTokens <= this->localTokens + this->reserveTokens) {
+    const double fromLocal = std::min(aTokens, this->localTokens);
+    this->localTokens -= fromLocal;
+    this->reserveTokens -= aTokens - fromLocal;
+    this->admittedTotal += aTokens;
     return 0;
   }
-  const double part = aTokens / *this->daemons;
-  const double wait = std::max(aTokens - this->Level(), part) / std::max(this->limit.rate, 1.0);
+  const double equalShare = aTokens / *this->daemonCount;
+  const double wait =
+    std::max(aTokens - this->Level(), equalShare) / std::max(this->limit.rate, 1.0);
   return std::max(wait, ToSeconds(this->refusedUntil - aNow));
 }
 
@@ -204,13 +208,15 @@
 PooledBucket::WantedLoan(double aTokens, TimePoint aNow)
 {
   this->Advance(aNow);
-  const double need = aTokens - this->own - this->reserve;
-  const bool isRefused = aNow < this->refusedUntil && need > this->refusedNeed * kSmallerLoan;
-  if (need <= 0 || this->IsAlone() || isRefused) {
+  const double need = aTokens - this->localTokens - this->reserveTokens;
+  const bool isRefused =
+    aNow < this->refusedUntil && need > this->refusedTokens * kSmallerRequestRatio;
+  if (need <= 0 || this->IsOnlyDaemon() || isRefused) {
     return std::nullopt;
   }
-  const double ahead = this->limit.rate / *this->daemons * ToSeconds(this->settings.loanAhead);
-  return LoanRequest{ 0, need, need + ahead, {} };
+  const double prefetchTokens =
+    this->limit.rate / *this->daemonCount * ToSeconds(this->settings.prefetch);
+  return LoanRequest{ 0, need, need + prefetchTokens, {} };
 }
 
 void
@@ -219,12 +225,12 @@
   this->Advance(aNow);
   this->unansweredSince.reset();
   if (aLoan.tokens > 0) {
-    this->own += aLoan.tokens;
-    this->others -= aLoan.tokens;
+    this->localTokens += aLoan.tokens;
+    this->remoteTokens -= aLoan.tokens;
     return;
   }
-  this->refusedNeed = aNeed;
-  const double wait = std::min(aLoan.wait, ToSeconds(this->settings.longestRefusal));
+  this->refusedTokens = aNeed;
+  const double wait = std::min(aLoan.wait, ToSeconds(this->settings.maximumRefusal));
   this->refusedUntil =
     aNow + std::chrono::duration_cast<TimePoint::duration>(std::chrono::duration<double>(wait));
 }
@@ -232,54 +238,57 @@
 void
 PooledBucket::OnLoanUnanswered(TimePoint aNow)
 {
-  // Its own part fills faster from some time on: what was earned before is added first
+  // The local share may refill at a different rate from now on: the tokens up to now are added at the previous rate first
   this->Advance(aNow);
-  this->refusedNeed = 0;
-  this->refusedUntil = aNow + this->settings.unansweredPause;
-  if (!this->unansweredSince || aNow - this->unansweredLast > this->settings.silence) {
+  this->refusedTokens = 0;
+  this->refusedUntil = aNow + this->settings.unansweredRetryDelay;
+  if (!this->unansweredSince || aNow - this->lastUnansweredAt > this->settings.silence) {
     this->unansweredSince = aNow;
   }
-  this->unansweredLast = aNow;
+  this->lastUnansweredAt = aNow;
 }
 
 Loan
 PooledBucket::Lend(const LoanRequest& aRequest, TimePoint aNow)
 {
-  if (this->role == ReserveRole::None || !this->daemons) {
+  if (this->role == ReserveRole::None || !this->daemonCount) {
     return {};
   }
   this->Advance(aNow);
-  const bool isAmple = this->reserve >= this->ReserveCapacity() * kAmplePart;
-  const double most = isAmple ? std::max(aRequest.want, aRequest.need) : aRequest.need;
-  const double given = most <= this->reserve ? most : aRequest.need;
-  if (given <= this->reserve) {
-    this->reserve -= given;
-    this->lentNow += given;
-    return { given, 0 };
+  const bool isAmple = this->reserveTokens >= this->ReserveCapacity() * kAmpleFraction;
+  const double preferred = isAmple ? std::max(aRequest.want, aRequest.need) : aRequest.need;
+  const double granted = preferred <= this->reserveTokens ? preferred : aRequest.need;
+  if (granted <= this->reserveTokens) {
+    this->reserveTokens -= granted;
+    this->currentGrants += granted;
+    return { granted, 0 };
   }
-  const double earned = (aRequest.need - this->reserve) / std::max(this->limit.rate, 1.0);
-  const double spread = *this->daemons / this->settings.refusalsPerSecond;
-  return { 0, std::max({ earned, spread, ToSeconds(this->settings.shortestRefusal) }) };
+  const double refillSeconds =
+    (aRequest.need - this->reserveTokens) / std::max(this->limit.rate, 1.0);
+  const double pacingSeconds = *this->daemonCount / this->settings.refusalsPerSecond;
+  return { 0,
+           std::max({ refillSeconds, pacingSeconds, ToSeconds(this->settings.minimumRefusal) }) };
 }
 
 void
-PooledBucket::OnInterval(int aDaemons, TimePoint aNow)
+PooledBucket::OnSendInterval(int aDaemons, TimePoint aNow)
 {
   this->Advance(aNow);
   std::erase_if(this->peers, [&](const auto& aPeer) {
-    return aNow - aPeer.second.heard > this->settings.memory;
+    return aNow - aPeer.second.receivedAt > this->settings.memory;
   });
   const int count = std::max(aDaemons, 1);
-  if (this->daemons == count) {
+  if (this->daemonCount == count) {
     return;
   }
-  // Alone it holds everything; else what it has beyond its part was borrowed
-  const bool wasAlone = this->IsAlone();
-  this->daemons = count;
-  if (wasAlone) {
-    this->own = std::min(this->own, this->OwnCapacity(aNow));
+  // The only daemon holds the whole limit and must give up the excess; otherwise tokens beyond the local share were granted
+  // by a reserve and are kept
+  const bool wasOnlyDaemon = this->IsOnlyDaemon();
+  this->daemonCount = count;
+  if (wasOnlyDaemon) {
+    this->localTokens = std::min(this->localTokens, this->LocalCapacity(aNow));
   }
-  this->others = std::min(this->others, this->OthersCapacity(aNow));
+  this->remoteTokens = std::min(this->remoteTokens, this->RemoteCapacity(aNow));
 }
 
 void
@@ -292,23 +301,24 @@
     this->peers[aPeer] = Peer{ aNow, aTotal, aDaemons, aSeries };
     return;
   }
-  // A peer that has started anew counts from zero again
+  // A lower total means that the peer has restarted and counts from zero
   Peer& peer = known->second;
-  this->ChargeOthers(aTotal >= peer.total ? aTotal - peer.total : aTotal);
+  this->ChargeRemote(aTotal >= peer.total ? aTotal - peer.total : aTotal);
   peer = Peer{ aNow, aTotal, aDaemons, aSeries };
 }
 
 void
-PooledBucket::ChargeOthers(double aTokens)
+PooledBucket::ChargeRemote(double aTokens)
 {
   double left = aTokens;
-  // Loans were charged when they were given; what seemed to be left over was not
-  for (double* paid : { &this->lentBefore, &this->lentNow, &this->surplusNew, &this->surplusOld }) {
-    const double part = std::min(left, *paid);
-    *paid -= part;
-    left -= part;
+  // Grants were charged when they were made, and the surplus was never added to the other shares: both are used up first
+  for (double* charged : { &this->previousGrants, &this->currentGrants, &this->currentSurplus,
+                           &this->previousSurplus }) {
+    const double amount = std::min(left, *charged);
+    *charged -= amount;
+    left -= amount;
   }
-  this->others = std::max(this->others - left, -this->limit.capacity);
+  this->remoteTokens = std::max(this->remoteTokens - left, -this->limit.capacity);
 }
 
 } // namespace lagoonward
--- a/Lagoonward/Admission/PooledBucket.h
+++ b/Lagoonward/Admission/PooledBucket.h
@@ -20,176 +20,180 @@
   [[nodiscard]] bool operator==(const PooledLimit&) const = default;
 };
 
-/// Tunables of pooled buckets.
+/// Settings of shared token buckets.
 struct PooledBucketSettings
 {
-  /// A peer not heard of for so long may be cut off: three messages. What peers tell is never older than this.
+  /// A peer that sends nothing for this long, three messages, may be unreachable. Totals received from peers are never
+  /// older than this.
   Milliseconds silence{ 1600 };
-  Milliseconds memory{ 20'000 }; ///< After this a silent peer counts as gone.
-  double firstFill = 0.25;       ///< Of a bucket whose past is not known.
-  /// A daemon that has not been told how many share its limits takes nothing for so long, then counts itself alone.
-  /// The list of daemons comes from where the limits come from, some ten milliseconds apart.
-  Milliseconds countPatience{ 2000 };
-
-  double ownPart = 0.1; ///< Of the limit, split evenly between all daemons.
-  double backupPart =
-    0.2; ///< Of the limit, kept by the backup reserve; the primary one keeps the rest.
-
-  /// A daemon that borrows asks for so much of its equal part of the rate beyond what it needs now, so that small
-  /// requests are not asked for one by one.
-  Milliseconds loanAhead{ 1000 };
-  /// Refusals that a reserve gives at the most, each second, by the time for which it sends daemons away.
+  Milliseconds memory{ 20'000 };  ///< A peer that sends nothing for this long is removed.
+  double initialFillRatio = 0.25; ///< Of a bucket whose previous usage is unknown.
+  /// A daemon that has not learned how many daemons share its limits admits nothing for this long, then assumes that it is
+  /// the only one. The list of daemons comes from the same source as the limits, within some ten milliseconds of them.
+  Milliseconds daemonCountTimeout{ 2000 };
+
+  double localShare = 0.1; ///< Fraction of the limit that is split evenly between all daemons.
+  double backupShare =
+    0.2; ///< Fraction of the limit in the backup reserve; the primary reserve has the rest.
+
+  /// A daemon requests this much of its equal share of the rate beyond what it needs now, so that small requests do not
+  /// each need a message to a reserve.
+  Milliseconds prefetch{ 1000 };
+  /// Largest rate of refusals per second by one reserve; it sets how long the refused daemons wait.
   double refusalsPerSecond = 200;
-  Milliseconds shortestRefusal{ 50 };    ///< For which a reserve sends a daemon away.
-  Milliseconds longestRefusal{ 30'000 }; ///< For which a daemon stays away, whatever it was told.
-  Milliseconds unansweredPause{ 200 };   ///< Until a reserve that does not answer is asked again.
+  Milliseconds minimumRefusal{ 50 };     ///< Shortest wait that a reserve gives with a refusal.
+  Milliseconds maximumRefusal{ 30'000 }; ///< Longest time that a daemon waits after a refusal.
+  Milliseconds unansweredRetryDelay{
+    200
+  }; ///< Time until the next request to a reserve that did not reply.
 };
 
-/// What a daemon keeps of a client's limit beside its own part.
+/// Which reserve of a client's limit a daemon owns beside its local share.
 enum class ReserveRole : std::uint8_t
 {
   None,
-  Backup,  ///< Lends where the primary reserve is spent or silent.
-  Primary, ///< Lends first, and receives what the others leave unused.
+  Backup,  ///< Grants tokens if the primary reserve is empty or does not reply.
+  Primary, ///< Is asked first, and receives the tokens that the other daemons leave unused.
 };
 
-/// A reserve's answer.
+/// A reserve's reply.
 struct Loan
 {
   double tokens = 0; ///< Zero for a refusal.
   double wait =
-    0; ///< Seconds after which to ask again; zero where the daemon asked keeps no reserve.
+    0; ///< Seconds until the next request is allowed; zero if the daemon asked owns no reserve.
 };
 
-/// What a daemon asks a reserve for.
+/// A daemon's request to a reserve.
 struct LoanRequest
 {
   std::uint64_t client = 0; ///< Hash of the account's name.
-  double need = 0;          ///< Tokens; less is of no use.
-  double want = 0;          ///< Rather so many, at least `need`.
+  double need = 0;          ///< Smallest useful number of tokens.
+  double want = 0;          ///< Preferred number of tokens, at least `need`.
   std::string account;      ///< The account's name, for logs.
 };
 
-/// One client's token bucket, kept by all daemons of the deployment together. It is divided, so that what may be
-/// admitted does not depend on how soon daemons hear of each other:
+/// One client's token bucket, shared by all daemons of the deployment. It is divided into shares, so that the number of
+/// tokens admitted does not depend on the delay of messages between daemons:
 ///
-/// | part | who holds it | what it is for |
+/// | share | owner | purpose |
 /// | --- | --- | --- |
-/// | ownPart, and the slack | every daemon, evenly | small requests, without asking |
-/// | backupPart | the backup reserve | loans while the primary reserve is spent or silent |
-/// | the rest | the primary reserve | loans to whichever daemon has a request larger than what it holds |
+/// | localShare, and the slack | every daemon, evenly | small requests, without a message |
+/// | backupShare | the backup reserve | grants while the primary reserve is empty or does not reply |
+/// | the rest | the primary reserve | grants to any daemon with a request larger than the tokens it holds |
 ///
-/// Each part fills at its part of the rate. What the others' parts can hold no more of goes to the primary reserve, once
-/// it is certain that nobody has used it: daemons tell each other at an interval how many tokens they have admitted
-/// in all.
+/// Each share refills at its fraction of the rate. Tokens that do not fit into the shares of the other daemons go to the
+/// primary reserve, once it is certain that no daemon has used them: daemons send each other the total number of tokens
+/// that they have admitted at an interval.
 ///
-/// Error bound: while one daemon at a time is the primary reserve and one the backup, all daemons together admit at
-/// most capacity + slack + rate * time, however many they are and however late news come, up to `silence`. A daemon that
-/// starts brings firstFill of its own part. Where daemons disagree about the roles, each role held twice adds its part of the rate for that time. A reserve earns for the part
-/// of the daemons that it hears; a daemon that no reserve has answered for `silence` holds and earns an equal part of
-/// the whole. Sides that are cut off from each other thus stay within the limit, but for the time that it takes to
-/// notice.
+/// Error bound: while one daemon at a time is the primary reserve and one the backup, all daemons together admit at most
+/// capacity + slack + rate * time, for any number of daemons and any message delay up to `silence`. A daemon that starts
+/// adds initialFillRatio of its local share. While daemons disagree about the roles, each role held twice adds its share of
+/// the rate for that time. A reserve refills only for the fraction of daemons that it receives messages from; a daemon that
+/// no reserve has answered for `silence` holds and refills an equal share of the whole limit. The sides of a network
+/// partition thus stay within the limit together, except for the time until the partition is detected.
 ///
-/// The largest request that passes is what the primary reserve and the daemon's own part hold. Not thread-safe.
+/// The largest request that can be admitted is the capacity of the primary reserve and of the daemon's local share.
+/// Not thread-safe.
 class PooledBucket
 {
 public:
   PooledBucket(const PooledBucketSettings& aSettings, TimePoint aNow);
 
-  /// Sets the limit. A lower one takes effect at once; the same one changes nothing.
+  /// Sets the limit. A lower limit takes effect immediately; an equal one changes nothing.
   void Configure(const PooledLimit& aLimit, TimePoint aNow);
 
-  /// Sets what this daemon keeps of the limit. A reserve begins empty, unless it was the other one before.
+  /// Sets which reserve this daemon owns. A reserve starts empty, unless this daemon owned the other reserve before.
   void SetRole(ReserveRole aRole, TimePoint aNow);
 
-  /// Takes tokens from what this daemon holds.
-  /// @return zero when they were taken, else the seconds after which they may be
+  /// Consumes tokens that this daemon holds.
+  /// @return zero if they were consumed, otherwise the seconds until they may be available
   [[nodiscard]] double Take(double aTokens, TimePoint aNow);
 
-  /// What to borrow before Take() is called, or nothing: where enough is held here, where nobody could lend, or where
-  /// the reserves have refused as much lately.
+  /// Returns the tokens to request from a reserve before Take() is called, or nothing: if this daemon holds enough, if it
+  /// is the only daemon, or if the reserves have refused as many tokens a short time ago.
   [[nodiscard]] std::optional<LoanRequest> WantedLoan(double aTokens, TimePoint aNow);
 
-  /// A reserve has answered.
-  /// @param aNeed  what it was asked for
+  /// Handles the reply of a reserve.
+  /// @param aNeed  tokens that were needed in the request
   void OnLoan(const Loan& aLoan, double aNeed, TimePoint aNow);
 
-  /// No reserve has answered.
+  /// Handles a request that no reserve has answered.
   void OnLoanUnanswered(TimePoint aNow);
 
-  /// Another daemon asks for a part of the reserve kept here.
+  /// Handles another daemon's request for tokens of the reserve that this daemon owns.
   [[nodiscard]] Loan Lend(const LoanRequest& aRequest, TimePoint aNow);
 
-  /// The peers are about to be told AdmittedTotal().
-  /// @param aDaemons  how many share the limit, this one included
-  void OnInterval(int aDaemons, TimePoint aNow);
+  /// Must be called before each time that AdmittedTotal() is sent to the peers.
+  /// @param aDaemons  number of daemons that share the limit, including this one
+  void OnSendInterval(int aDaemons, TimePoint aNow);
 
-  /// A peer has told its total. It may speak for several daemons together, so that what a bucket costs does not grow
-  /// with the deployment.
-  /// @param aDaemons  for how many daemons it speaks now
-  /// @param aSeries   names whose count the total is: one of another series is not compared with those before
+  /// Handles a peer's total. A peer may represent several daemons, so that the cost of a bucket does not grow with the
+  /// deployment.
+  /// @param aDaemons  number of daemons that the peer represents now
+  /// @param aSeries   identifies the counter series of the total; totals of different series are not compared
   void OnPeer(std::uint64_t aPeer, double aTotal, TimePoint aNow, int aDaemons = 1,
               std::uint64_t aSeries = 0);
 
-  [[nodiscard]] double AdmittedTotal() const { return this->total; }
+  [[nodiscard]] double AdmittedTotal() const { return this->admittedTotal; }
 
-  /// Tokens left of the capacity in the whole deployment, as far as is known; the slack is not counted.
+  /// Estimate of the tokens left of the capacity in the whole deployment, without the slack.
   [[nodiscard]] double Level() const
   {
-    return this->own + this->reserve + this->others + this->surplusOld + this->surplusNew -
-           this->limit.slack;
+    return this->localTokens + this->reserveTokens + this->remoteTokens + this->previousSurplus +
+           this->currentSurplus - this->limit.slack;
   }
 
 private:
   struct Peer
   {
-    TimePoint heard;
+    TimePoint receivedAt;
     double total = 0;
-    int daemons = 1; ///< For which it speaks.
+    int daemons = 1; ///< Number of daemons that it represents.
     std::uint64_t series = 0;
   };
 
   void Advance(TimePoint aNow);
-  void TurnGenerations(TimePoint aNow);
-  /// Others have used tokens of their own parts or of loans.
-  void ChargeOthers(double aTokens);
-  /// Part of the daemons that has been heard of lately, this one included.
-  [[nodiscard]] double HeardPart(TimePoint aNow) const;
-  /// Part of the limit that the reserve kept here is made of.
-  [[nodiscard]] double ReservePart() const;
-  [[nodiscard]] double OwnRate(TimePoint aNow) const;
-  [[nodiscard]] double OwnCapacity(TimePoint aNow) const;
+  void RotateGenerations(TimePoint aNow);
+  /// Charges tokens that other daemons have used, from their local shares or from grants.
+  void ChargeRemote(double aTokens);
+  /// Fraction of the daemons with a message within `silence`, including this one.
+  [[nodiscard]] double ReachableFraction(TimePoint aNow) const;
+  /// Fraction of the limit that belongs to the reserve of this daemon.
+  [[nodiscard]] double ReserveShare() const;
+  [[nodiscard]] double LocalRate(TimePoint aNow) const;
+  [[nodiscard]] double LocalCapacity(TimePoint aNow) const;
   [[nodiscard]] double ReserveCapacity() const;
-  [[nodiscard]] double OthersCapacity(TimePoint aNow) const;
-  [[nodiscard]] bool IsAlone() const { return this->daemons.value_or(1) <= 1; }
-  /// Whether no reserve answers, for so long that none counts this daemon as connected any more. A reserve itself lives
-  /// on what it keeps.
-  [[nodiscard]] bool IsCutOff(TimePoint aNow) const;
+  [[nodiscard]] double RemoteCapacity(TimePoint aNow) const;
+  [[nodiscard]] bool IsOnlyDaemon() const { return this->daemonCount.value_or(1) <= 1; }
+  /// Whether no reserve has replied for so long that none counts this daemon as reachable any more. False for the owner of
+  /// a reserve, which uses its own.
+  [[nodiscard]] bool IsPartitioned(TimePoint aNow) const;
 
   PooledBucketSettings settings;
   PooledLimit limit;
-  bool configured = false;
-  std::optional<int> daemons; ///< That share the limit; unknown until told.
+  bool isConfigured = false;
+  std::optional<int> daemonCount; ///< Daemons that share the limit; empty until known.
   ReserveRole role = ReserveRole::None;
   TimePoint startedAt;
   TimePoint advancedAt;
-  double total = 0;   ///< Admitted here since the start.
-  double own = 0;     ///< Left of this daemon's part.
-  double reserve = 0; ///< Left of the reserve kept here.
-  double others = 0;  ///< Left of all other parts, as far as is known.
-
-  // Over time, one generation after the other: news may be as old as one of them lasts
-  TimePoint turnedAt;
-  double surplusNew =
-    0; ///< What the others' parts could not hold, unless they turn out to have used it.
-  double surplusOld = 0;
-  double lentNow = 0; ///< To daemons that have not told of its use.
-  double lentBefore = 0;
-
-  TimePoint refusedUntil;                   ///< Reserves are not asked for as much before.
-  double refusedNeed = 0;                   ///< What they have refused.
-  std::optional<TimePoint> unansweredSince; ///< Since then no reserve has answered.
-  TimePoint unansweredLast;                 ///< When one was last asked in vain.
+  double admittedTotal = 0; ///< By this daemon since its start.
+  double localTokens = 0;   ///< Left of this daemon's local share, and granted by reserves.
+  double reserveTokens = 0; ///< Left of the reserve of this daemon.
+  double remoteTokens = 0;  ///< Estimate of what is left of all other shares.
+
+  // Kept in two generations of `silence` each: a total received from a peer may be as old as one generation
+  TimePoint rotatedAt;
+  double currentSurplus =
+    0; ///< Tokens that did not fit into the other shares, unless peers report that they used them.
+  double previousSurplus = 0;
+  double currentGrants = 0; ///< Tokens granted to daemons that have not reported their use.
+  double previousGrants = 0;
+
+  TimePoint refusedUntil;   ///< No request for as many tokens is sent to reserves before this time.
+  double refusedTokens = 0; ///< Tokens needed in the last refused request.
+  std::optional<TimePoint> unansweredSince; ///< No reserve has replied since this time.
+  TimePoint lastUnansweredAt;               ///< Time of the last request without a reply.
   std::map<std::uint64_t, Peer> peers;
 };
 
--- a/Lagoonward/Admission/RetryBudget.cpp
+++ b/Lagoonward/Admission/RetryBudget.cpp
@@ -8,7 +8,7 @@
   : settings(aSettings)
   , clock(aClock)
   , retries(aSettings.capacity)
-  , filledAt(aClock.Now())
+  , refilledAt(aClock.Now())
 {
 }
 
@@ -17,14 +17,14 @@
 {
   const std::lock_guard lock(this->mutex);
   this->liveDaemons = std::max(aCount, 1);
-  this->Earn(0);
+  this->AddRetries(0);
 }
 
 void
 RetryBudget::OnSuccess()
 {
   const std::lock_guard lock(this->mutex);
-  this->Earn(this->settings.perSuccess);
+  this->AddRetries(this->settings.perSuccess);
 }
 
 bool
@@ -32,9 +32,9 @@
 {
   const std::lock_guard lock(this->mutex);
   const TimePoint now = this->clock.Now();
-  const double seconds = std::chrono::duration<double>(now - this->filledAt).count();
-  this->filledAt = now;
-  this->Earn(seconds * this->settings.perSecond / this->liveDaemons);
+  const double seconds = std::chrono::duration<double>(now - this->refilledAt).count();
+  this->refilledAt = now;
+  this->AddRetries(seconds * this->settings.perSecond / this->liveDaemons);
   if (this->retries < 1) {
     return false;
   }
@@ -45,12 +45,12 @@
 double
 RetryBudget::Capacity() const
 {
-  // A part of less than one could never be spent
+  // With a capacity below one, no retry could ever be consumed
   return std::max(this->settings.capacity / this->liveDaemons, 1.0);
 }
 
 void
-RetryBudget::Earn(double aRetries)
+RetryBudget::AddRetries(double aRetries)
 {
   this->retries = std::min(this->retries + aRetries, this->Capacity());
 }
--- a/Lagoonward/Admission/RetryBudget.h
+++ b/Lagoonward/Admission/RetryBudget.h
@@ -6,34 +6,34 @@
 
 namespace lagoonward {
 
-/// The deployment's budget of retries, moves excepted, as one daemon sees it: a token bucket filled by successes.
-/// Each daemon earns from its own successes and holds an equal part of the rest, so that all
-/// daemons together stay within the deployment's budget without talking. Thread-safe.
+/// One daemon's share of the deployment's budget of retries (moves are not counted): a token bucket refilled by successful
+/// requests. Each daemon earns retries from its own successful requests and has an equal share of the rest, so that all
+/// daemons together stay within the deployment's budget without exchanging messages. Thread-safe.
 class RetryBudget
 {
 public:
   RetryBudget(const RetryBudgetSettings& aSettings, const Clock& aClock);
 
-  /// How many daemons share the budget, this one included.
+  /// Sets the number of daemons that share the budget, including this one.
   void SetLiveDaemons(int aCount);
 
-  /// A request was answered whole.
+  /// Handles a request that was answered completely.
   void OnSuccess();
 
-  /// Takes one retry out of the budget.
-  /// @return false when there is none: answer RetryBudgetExhausted instead of trying again
+  /// Consumes one retry of the budget.
+  /// @return false if none is available: answer RetryBudgetExhausted instead of retrying
   [[nodiscard]] bool TryTake();
 
 private:
   [[nodiscard]] double Capacity() const;
-  void Earn(double aRetries);
+  void AddRetries(double aRetries);
 
   RetryBudgetSettings settings;
   const Clock& clock;
   std::mutex mutex; ///< Guards all below.
   int liveDaemons = 1;
   double retries; ///< Available now.
-  TimePoint filledAt;
+  TimePoint refilledAt;
 };
 
 } // namespace lagoonward
