--- a/Lagoonward/Admission/Admission.cpp
+++ b/Lagoonward/Admission/Admission.cpp
@@ -317,7 +317,8 @@
 double
 Admission::FairShareExcess(const Client& aClient) const
 {
-  // Compares the client's fraction of all running requests with its fraction of the weights of clients with running requests
+  // Compares the client's fraction of all running requests with its fraction of the weights of clients with running
+  // requests
   double weights = 0;
   double running = 0;
   for (const Client& client : this->clients) {
@@ -405,8 +406,8 @@
 void
 Admission::RefreshLimits(Client& aClient) const
 {
-  // Until the next heartbeat this daemon may use its share of the free slots, rounded up: all daemons together exceed the
-  // limit by less than one slot each
+  // Until the next heartbeat this daemon may use its share of the free slots, rounded up: all daemons together exceed
+  // the limit by less than one slot each
   this->Refill(aClient);
   const ClientShare share = this->demandView.ShareOf(aClient.key);
   aClient.rateShare = share.rateShare;
--- a/Lagoonward/Admission/Admission.h
+++ b/Lagoonward/Admission/Admission.h
@@ -33,8 +33,8 @@
   Ticket& operator=(const Ticket&) = delete;
   ~Ticket();
 
-  /// Reports whether the answer met its class's targets. While answers of a rank miss their targets, lower ranks are shed
-  /// earlier.
+  /// Reports whether the answer met its class's targets. While answers of a rank miss their targets, lower ranks are
+  /// shed earlier.
   void ReportTargets(bool aMet);
 
   /// Sets the number of tokens that the request used. The difference from the estimate is charged or refunded when the
@@ -55,10 +55,10 @@
   TimePoint admittedAt;
 };
 
-/// Decides immediately whether a request is admitted; there is no queue. Limits per client apply to the whole deployment
-/// (see DemandView for the error bound). Under high pressure on the endpoints the lowest ranks are shed first, and within
-/// a rank the clients furthest above their fair share. A refused request was never sent to an endpoint.
-/// Thread-safe; one mutex is held for a short time.
+/// Decides immediately whether a request is admitted; there is no queue. Limits per client apply to the whole
+/// deployment (see DemandView for the error bound). Under high pressure on the endpoints the lowest ranks are shed
+/// first, and within a rank the clients furthest above their fair share. A refused request was never sent to an
+/// endpoint. Thread-safe; one mutex is held for a short time.
 class Admission
 {
 public:
@@ -74,9 +74,9 @@
   /// from received messages. Until the first call or the first message of a peer, pooled limits admit nothing.
   void SetDaemons(int aCount);
 
-  /// Sets the function that returns the reserve role of this daemon for each pooled limit. Its argument is the hash of the
-  /// account's name. Until the first call this daemon acts as the primary reserve of every limit, as no other daemon is
-  /// known to own one.
+  /// Sets the function that returns the reserve role of this daemon for each pooled limit. Its argument is the hash of
+  /// the account's name. Until the first call this daemon acts as the primary reserve of every limit, as no other
+  /// daemon is known to own one.
   void SetReserves(std::function<ReserveRole(std::uint64_t aClient)> aRoleOf);
 
   /// Returns the tokens to request from a reserve before Admit() is called, or nothing if none are needed.
@@ -98,7 +98,8 @@
   /// Applies the demand received with a peer's heartbeat.
   void OnPeer(std::uint64_t aDaemon, std::span<const ClientDemand> aDemand);
 
-  /// Applies the aggregated demand and admitted totals of all other daemons, received in place of one message from each.
+  /// Applies the aggregated demand and admitted totals of all other daemons, received in place of one message from
+  /// each.
   void OnOthers(const DemandOfOthers& aOthers);
 
 private:
--- a/Lagoonward/Admission/AdmissionSettings.h
+++ b/Lagoonward/Admission/AdmissionSettings.h
@@ -17,8 +17,8 @@
   /// larger than one daemon's share of the bucket.
   double limitTolerance = 0; ///< As a fraction of rate and burst.
   double limitSlack = 0;     ///< Additional tokens at once.
-  /// All daemons together keep one bucket per client instead of splitting its rate. Needed for a client whose requests are
-  /// large relative to one daemon's share; requires a LimitLender that transfers tokens between daemons.
+  /// All daemons together keep one bucket per client instead of splitting its rate. Needed for a client whose requests
+  /// are large relative to one daemon's share; requires a LimitLender that transfers tokens between daemons.
   bool pooled = false;
   PooledBucketSettings pool;
   double shedFrom = 0.8;     ///< Pressure above which requests of the lowest rank are shed.
@@ -34,8 +34,8 @@
   Milliseconds retryAfterCeiling{ 30000 }; ///< Longest Retry-After sent.
 };
 
-/// Settings of the retry budget of one deployment. Retries are limited to a fraction of the successful requests, so that a
-/// fault cannot multiply the load.
+/// Settings of the retry budget of one deployment. Retries are limited to a fraction of the successful requests, so
+/// that a fault cannot multiply the load.
 struct RetryBudgetSettings
 {
   double perSuccess = 0.1; ///< Retries earned by one successful request.
--- a/Lagoonward/Admission/DemandSum.h
+++ b/Lagoonward/Admission/DemandSum.h
@@ -18,11 +18,11 @@
 };
 
 /// Aggregates the clients' demand reported by several sources (daemons or groups of daemons) and returns to each source
-/// the sum over the others. Handling a report and computing a sum take time proportional to the number of clients that one
-/// source reports.
+/// the sum over the others. Handling a report and computing a sum take time proportional to the number of clients that
+/// one source reports.
 ///
-/// Admitted totals in a sum never decrease: the first total that a source reports is its baseline, and the increase since
-/// then stays in the sum after the source is removed. Not thread-safe.
+/// Admitted totals in a sum never decrease: the first total that a source reports is its baseline, and the increase
+/// since then stays in the sum after the source is removed. Not thread-safe.
 class DemandSum
 {
 public:
--- a/Lagoonward/Admission/DemandView.h
+++ b/Lagoonward/Admission/DemandView.h
@@ -35,21 +35,22 @@
 };
 
 /// Splits per-client limits between the daemons without a store. Each daemon sends its demand with its heartbeats. Its
-/// share is computed from the second-last demand that it sent itself and the last demand received from each peer, so that
-/// all daemons compute with the same numbers:
+/// share is computed from the second-last demand that it sent itself and the last demand received from each peer, so
+/// that all daemons compute with the same numbers:
 ///
 ///   share = evenShare / n + (1 - evenShare) * demand / total demand
 ///
-/// Error bound: with equal views the shares sum to one exactly, also for a client that had no demand before (1 / n each).
-/// They sum to more only where views differ: by at most the relative change of demand between two heartbeats, and by one
-/// full limit for each further side of a network partition that lasts longer than peerTimeout.
-/// Not thread-safe; guarded by Admission.
+/// Error bound: with equal views the shares sum to one exactly, also for a client that had no demand before (1 / n
+/// each). They sum to more only where views differ: by at most the relative change of demand between two heartbeats,
+/// and by one full limit for each further side of a network partition that lasts longer than peerTimeout. Not
+/// thread-safe; guarded by Admission.
 class DemandView
 {
 public:
   DemandView(const AdmissionSettings& aSettings, const Clock& aClock);
 
-  /// Records the demand that this daemon is about to send. The demand recorded before it becomes the base of its shares.
+  /// Records the demand that this daemon is about to send. The demand recorded before it becomes the base of its
+  /// shares.
   void OnOwnDemandSent(std::span<const ClientDemand> aDemand);
 
   /// Records the demand that a peer has sent. An empty list is recorded too, as it shows that the peer is alive.
@@ -70,8 +71,8 @@
     int daemons = 1;
   };
 
-  /// Sum of the demand of all live peers. Updated with each message, so that the cost of computing a share does not depend
-  /// on the number of daemons.
+  /// Sum of the demand of all live peers. Updated with each message, so that the cost of computing a share does not
+  /// depend on the number of daemons.
   struct PeerSum
   {
     double tokensPerSecond = 0;
--- a/Lagoonward/Admission/EndpointLimits.h
+++ b/Lagoonward/Admission/EndpointLimits.h
@@ -44,8 +44,8 @@
   /// Handles an answer whose limit cannot be parsed: an earlier limit still applies.
   void OnMalformed(std::string_view aEndpoint);
 
-  /// Sets the listener that is called for each limit that no longer applies, in order to notify the owners. Must be called
-  /// before any other method.
+  /// Sets the listener that is called for each limit that no longer applies, in order to notify the owners. Must be
+  /// called before any other method.
   void OnLifted(std::function<void(const PermitRequest& aUpdate)> aListener);
 
   /// Returns the permit request to make before a request is sent to an endpoint; nothing if it has advertised no limit.
--- a/Lagoonward/Admission/LimitLender.h
+++ b/Lagoonward/Admission/LimitLender.h
@@ -13,8 +13,8 @@
   virtual ~LimitLender() = default;
 
   /// Requests tokens and passes the result to the market's admission.
-  /// @param aSettled  called once, from any thread, when admission should be tried: a reserve has granted or refused, or
-  ///                  none has replied in time
+  /// @param aSettled  called once, from any thread, when admission should be tried: a reserve has granted or refused,
+  ///                  or none has replied in time
   virtual void Borrow(const LoanRequest& aRequest, std::function<void()> aSettled) = 0;
 };
 
--- a/Lagoonward/Admission/PermitBook.h
+++ b/Lagoonward/Admission/PermitBook.h
@@ -13,14 +13,15 @@
 /// Settings of permits to send to endpoints that advertise a limit.
 struct PermitSettings
 {
-  double least =
-    0.25; ///< Lowest rate in requests per second, also for a limit of 0: without requests, no answer would show a raised limit.
+  /// Lowest rate in requests per second, also for a limit of 0: without any request no answer could show a higher
+  /// limit.
+  double least = 0.25;
   double burst = 2;         ///< Permits that the primary owner grants at once.
   double backupBurst = 1;   ///< The same for the backup owner.
   double backupShare = 0.2; ///< Fraction of the limit that the backup grants beside the primary.
 
-  /// For this long after it became the primary, an owner grants only a backup's share: the previous primary may not have
-  /// learned of the change yet.
+  /// For this long after it became the primary, an owner grants only a backup's share: the previous primary may not
+  /// have learned of the change yet.
   Milliseconds takeover{ 5000 };
 
   Milliseconds longestWait{ 2000 };    ///< Longest wait in a reply that grants no permit.
@@ -65,10 +66,10 @@
   }
 };
 
-/// Grants permits for the endpoints that this daemon owns. All daemons together send an endpoint at most what its primary
-/// and its backup owner grant: in any time span at most 1.2 times the limit and three more, independent of how requests
-/// are spread over daemons and of the delay of updates. An owner that takes over grants only a backup's share until the
-/// previous owner must have learned of the change. Thread-safe; performs no I/O.
+/// Grants permits for the endpoints that this daemon owns. All daemons together send an endpoint at most what its
+/// primary and its backup owner grant: in any time span at most 1.2 times the limit and three more, independent of how
+/// requests are spread over daemons and of the delay of updates. An owner that takes over grants only a backup's share
+/// until the previous owner must have learned of the change. Thread-safe; performs no I/O.
 class PermitBook
 {
 public:
@@ -76,8 +77,8 @@
 
   /// Handles a daemon's request.
   /// @param aRole       this daemon's role for the endpoint
-  /// @param aIsSettled  whether the list of daemons has been unchanged for Takeover(), so that no other daemon owned the
-  ///                    endpoint before
+  /// @param aIsSettled  whether the list of daemons has been unchanged for Takeover(), so that no other daemon owned
+  ///                    the endpoint before
   [[nodiscard]] PermitReply Serve(const PermitRequest& aRequest, ReserveRole aRole,
                                   bool aIsSettled);
 
--- a/Lagoonward/Admission/PoisonGuard.h
+++ b/Lagoonward/Admission/PoisonGuard.h
@@ -16,8 +16,8 @@
 /// Settings of the filter of requests that crash endpoints.
 struct PoisonSettings
 {
-  /// Number of crashes from which all daemons are notified, so that a daemon on which the request completed successfully
-  /// can report it.
+  /// Number of crashes from which all daemons are notified, so that a daemon on which the request completed
+  /// successfully can report it.
   int crashesToSuspect = 2;
 
   /// Sum of crash weights from which the request is sent to no endpoint.
@@ -29,14 +29,15 @@
   /// How long a request stays poisoned. It is sent again after that, so that a fixed service receives it.
   Milliseconds poisonMemory{ 600'000 };
 
-  /// How long crashes are counted. Longer than the poisoned status, so that one further crash after its expiry restores it.
+  /// How long crashes are counted. Longer than the poisoned status, so that one further crash after its expiry restores
+  /// it.
   Milliseconds crashRetention{ 1'200'000 };
 
   /// A request that completed successfully within this time is not blamed for a crash: it ran there by coincidence.
   Milliseconds completionRetention{ 10'000 };
 
-  /// Endpoints of one failure domain that are lost within this time count as one event, unless the request was sent to the
-  /// second after the first was lost.
+  /// Endpoints of one failure domain that are lost within this time count as one event, unless the request was sent to
+  /// the second after the first was lost.
   Milliseconds sameEventWindow{ 1000 };
 
   /// Notes with less time left are not sent: otherwise daemons would send them back and forth without end.
@@ -89,14 +90,14 @@
   }
 };
 
-/// Detects requests that crash the endpoints that run them ("poison request", "query of death") and stops them from being
-/// sent. Each crash is reported to the daemons that own the request's key, which count crashes; the resulting status is
-/// sent to all daemons with their other updates. After the crash that reaches the threshold, further sends are therefore
-/// limited to one round of updates, independent of the number of daemons. Thread-safe; performs no I/O.
+/// Detects requests that crash the endpoints that run them ("poison request", "query of death") and stops them from
+/// being sent. Each crash is reported to the daemons that own the request's key, which count crashes; the resulting
+/// status is sent to all daemons with their other updates. After the crash that reaches the threshold, further sends
+/// are therefore limited to one round of updates, independent of the number of daemons. Thread-safe; performs no I/O.
 ///
-/// A crashing endpoint fails all requests that run on it, so one crash is not sufficient evidence. A request is not blamed
-/// if it completed successfully a short time ago, on this or another daemon, if its endpoints were lost together with their
-/// failure domain, or if it ran on only two endpoints that crashed.
+/// A crashing endpoint fails all requests that run on it, so one crash is not sufficient evidence. A request is not
+/// blamed if it completed successfully a short time ago, on this or another daemon, if its endpoints were lost together
+/// with their failure domain, or if it ran on only two endpoints that crashed.
 class PoisonGuard
 {
 public:
@@ -104,8 +105,8 @@
 
   PoisonGuard(const PoisonSettings& aSettings, const Clock& aClock);
 
-  /// Sets the listener that is called for each crash that was observed by this daemon and counted, in order to report it to
-  /// the owners of the request's key. Must be called before any other method.
+  /// Sets the listener that is called for each crash that was observed by this daemon and counted, in order to report
+  /// it to the owners of the request's key. Must be called before any other method.
   void OnReport(Listener aListener);
 
   /// Whether the request must not be sent to any endpoint.
--- a/Lagoonward/Admission/PooledBucket.cpp
+++ b/Lagoonward/Admission/PooledBucket.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-/// While a reserve holds at least this fraction of its capacity, it grants the preferred number of tokens instead of the
-/// needed one.
+/// While a reserve holds at least this fraction of its capacity, it grants the preferred number of tokens instead of
+/// the needed one.
 constexpr double kAmpleFraction = 0.5;
 
-/// After a refusal, requests for at most this fraction of the refused tokens are still sent to the reserves: what they have
-/// left may be enough for smaller requests.
+/// After a refusal, requests for at most this fraction of the refused tokens are still sent to the reserves: what they
+/// have left may be enough for smaller requests.
 constexpr double kSmallerRequestRatio = 0.5;
 
 /// Adds tokens up to the capacity. A level above the capacity, after a grant or a decrease of the capacity, is kept.
@@ -39,8 +39,8 @@
 void
 PooledBucket::Configure(const PooledLimit& aLimit, TimePoint aNow)
 {
-  // Configurations arrive several times a second, mostly with unrelated changes. They must not remove tokens that a reserve
-  // has granted for a request that is about to be admitted
+  // Configurations arrive several times a second, mostly with unrelated changes. They must not remove tokens that a
+  // reserve has granted for a request that is about to be admitted
   if (this->isConfigured && aLimit == this->limit) {
     return;
   }
@@ -238,7 +238,8 @@
 void
 PooledBucket::OnLoanUnanswered(TimePoint aNow)
 {
-  // The local share may refill at a different rate from now on: the tokens up to now are added at the previous rate first
+  // The local share may refill at a different rate from now on: the tokens up to now are added at the previous rate
+  // first
   this->Advance(aNow);
   this->refusedTokens = 0;
   this->refusedUntil = aNow + this->settings.unansweredRetryDelay;
@@ -281,8 +282,8 @@
   if (this->daemonCount == count) {
     return;
   }
-  // The only daemon holds the whole limit and must give up the excess; otherwise tokens beyond the local share were granted
-  // by a reserve and are kept
+  // The only daemon holds the whole limit and must give up the excess; otherwise tokens beyond the local share were
+  // granted by a reserve and are kept
   const bool wasOnlyDaemon = this->IsOnlyDaemon();
   this->daemonCount = count;
   if (wasOnlyDaemon) {
@@ -311,7 +312,8 @@
 PooledBucket::ChargeRemote(double aTokens)
 {
   double left = aTokens;
-  // Grants were charged when they were made, and the surplus was never added to the other shares: both are used up first
+  // Grants were charged when they were made, and the surplus was never added to the other shares: both are used up
+  // first
   for (double* charged : { &this->previousGrants, &this->currentGrants, &this->currentSurplus,
                            &this->previousSurplus }) {
     const double amount = std::min(left, *charged);
--- a/Lagoonward/Admission/PooledBucket.h
+++ b/Lagoonward/Admission/PooledBucket.h
@@ -28,8 +28,9 @@
   Milliseconds silence{ 1600 };
   Milliseconds memory{ 20'000 };  ///< A peer that sends nothing for this long is removed.
   double initialFillRatio = 0.25; ///< Of a bucket whose previous usage is unknown.
-  /// A daemon that has not learned how many daemons share its limits admits nothing for this long, then assumes that it is
-  /// the only one. The list of daemons comes from the same source as the limits, within some ten milliseconds of them.
+  /// A daemon that has not learned how many daemons share its limits admits nothing for this long, then assumes that it
+  /// is the only one. The list of daemons comes from the same source as the limits, within some ten milliseconds of
+  /// them.
   Milliseconds daemonCountTimeout{ 2000 };
 
   double localShare = 0.1; ///< Fraction of the limit that is split evenly between all daemons.
@@ -82,16 +83,17 @@
 /// | backupShare | the backup reserve | grants while the primary reserve is empty or does not reply |
 /// | the rest | the primary reserve | grants to any daemon with a request larger than the tokens it holds |
 ///
-/// Each share refills at its fraction of the rate. Tokens that do not fit into the shares of the other daemons go to the
-/// primary reserve, once it is certain that no daemon has used them: daemons send each other the total number of tokens
-/// that they have admitted at an interval.
+/// Each share refills at its fraction of the rate. Tokens that do not fit into the shares of the other daemons go to
+/// the primary reserve, once it is certain that no daemon has used them: daemons send each other the total number of
+/// tokens that they have admitted at an interval.
 ///
-/// Error bound: while one daemon at a time is the primary reserve and one the backup, all daemons together admit at most
-/// capacity + slack + rate * time, for any number of daemons and any message delay up to `silence`. A daemon that starts
-/// adds initialFillRatio of its local share. While daemons disagree about the roles, each role held twice adds its share of
-/// the rate for that time. A reserve refills only for the fraction of daemons that it receives messages from; a daemon that
-/// no reserve has answered for `silence` holds and refills an equal share of the whole limit. The sides of a network
-/// partition thus stay within the limit together, except for the time until the partition is detected.
+/// Error bound: while one daemon at a time is the primary reserve and one the backup, all daemons together admit at
+/// most capacity + slack + rate * time, for any number of daemons and any message delay up to `silence`. A daemon that
+/// starts adds initialFillRatio of its local share. While daemons disagree about the roles, each role held twice adds
+/// its share of the rate for that time. A reserve refills only for the fraction of daemons that it receives messages
+/// from; a daemon that no reserve has answered for `silence` holds and refills an equal share of the whole limit. The
+/// sides of a network partition thus stay within the limit together, except for the time until the partition is
+/// detected.
 ///
 /// The largest request that can be admitted is the capacity of the primary reserve and of the daemon's local share.
 /// Not thread-safe.
@@ -110,8 +112,8 @@
   /// @return zero if they were consumed, otherwise the seconds until they may be available
   [[nodiscard]] double Take(double aTokens, TimePoint aNow);
 
-  /// Returns the tokens to request from a reserve before Take() is called, or nothing: if this daemon holds enough, if it
-  /// is the only daemon, or if the reserves have refused as many tokens a short time ago.
+  /// Returns the tokens to request from a reserve before Take() is called, or nothing: if this daemon holds enough, if
+  /// it is the only daemon, or if the reserves have refused as many tokens a short time ago.
   [[nodiscard]] std::optional<LoanRequest> WantedLoan(double aTokens, TimePoint aNow);
 
   /// Handles the reply of a reserve.
@@ -166,8 +168,8 @@
   [[nodiscard]] double ReserveCapacity() const;
   [[nodiscard]] double RemoteCapacity(TimePoint aNow) const;
   [[nodiscard]] bool IsOnlyDaemon() const { return this->daemonCount.value_or(1) <= 1; }
-  /// Whether no reserve has replied for so long that none counts this daemon as reachable any more. False for the owner of
-  /// a reserve, which uses its own.
+  /// Whether no reserve has replied for so long that none counts this daemon as reachable any more. False for the owner
+  /// of a reserve, which uses its own.
   [[nodiscard]] bool IsPartitioned(TimePoint aNow) const;
 
   PooledBucketSettings settings;
--- a/Lagoonward/Admission/RetryBudget.h
+++ b/Lagoonward/Admission/RetryBudget.h
@@ -6,9 +6,9 @@
 
 namespace lagoonward {
 
-/// One daemon's share of the deployment's budget of retries (moves are not counted): a token bucket refilled by successful
-/// requests. Each daemon earns retries from its own successful requests and has an equal share of the rest, so that all
-/// daemons together stay within the deployment's budget without exchanging messages. Thread-safe.
+/// One daemon's share of the deployment's budget of retries (moves are not counted): a token bucket refilled by
+/// successful requests. Each daemon earns retries from its own successful requests and has an equal share of the rest,
+/// so that all daemons together stay within the deployment's budget without exchanging messages. Thread-safe.
 class RetryBudget
 {
 public:
--- a/UnitTests/Admission/AdmissionTests.cpp
+++ b/UnitTests/Admission/AdmissionTests.cpp
@@ -29,7 +29,7 @@
 
 BOOST_AUTO_TEST_SUITE(AdmissionTests)
 
-BOOST_AUTO_TEST_CASE(RefusesUnknownClientsAndOnesOverTheirLimit)
+BOOST_AUTO_TEST_CASE(RefusesUnknownClientsAndClientsAtTheirConcurrencyLimit)
 {
   VirtualClock clock;
   Admission admission({}, clock, 1);
@@ -47,7 +47,7 @@
   BOOST_TEST(admission.Admit({ "large", 0, 1 }).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(RetryAfterOfTheRateLimitIsHonest)
+BOOST_AUTO_TEST_CASE(RequestIsAdmittedAfterTheRetryAfterOfTheRateLimit)
 {
   VirtualClock clock;
   Admission admission({}, clock, 1);
@@ -84,7 +84,7 @@
     }
     clock.Advance(Milliseconds(500));
 
-    // Most of the demand comes to two daemons; the first rounds only make the daemons known
+    // Two daemons receive most of the requests; the first rounds only announce the daemons to each other
     for (std::size_t attempt = 0; round >= 2 && attempt < 40; ++attempt) {
       auto ticket =
         daemons[attempt % 4 == 0 ? attempt % kDaemons : attempt % 2]->Admit({ "large", 0, 100 });
@@ -108,7 +108,7 @@
                                                           {} };
   for (int round = 0; round < 2; ++round) {
     for (std::size_t from = 0; from < 3; ++from) {
-      views[from].OnOwnSent(demands[from]);
+      views[from].OnOwnDemandSent(demands[from]);
       for (std::size_t to = 0; to < 3; ++to) {
         if (to != from) {
           views[to].OnPeer(from, demands[from]);
@@ -118,19 +118,19 @@
   }
   double sum = 0;
   for (const DemandView& view : views) {
-    sum += view.ShareOf(1).share;
-    BOOST_TEST(view.ShareOf(2).share == 1.0 / 3, boost::test_tools::tolerance(1e-9));
+    sum += view.ShareOf(1).rateShare;
+    BOOST_TEST(view.ShareOf(2).rateShare == 1.0 / 3, boost::test_tools::tolerance(1e-9));
   }
   BOOST_TEST(sum == 1, boost::test_tools::tolerance(1e-9));
-  BOOST_TEST(views[0].ShareOf(1).share > views[1].ShareOf(1).share);
+  BOOST_TEST(views[0].ShareOf(1).rateShare > views[1].ShareOf(1).rateShare);
 
-  // Silent peers stop counting
+  // Peers without messages for longer than peerTimeout are not counted
   clock.Advance(settings.peerTimeout + Milliseconds(1));
   BOOST_TEST(views[0].LiveDaemons() == 1);
-  BOOST_TEST(views[0].ShareOf(1).share == 1);
+  BOOST_TEST(views[0].ShareOf(1).rateShare == 1);
 }
 
-BOOST_AUTO_TEST_CASE(ShedsTheLowestRankAndTheLargestUserFirst)
+BOOST_AUTO_TEST_CASE(ShedsTheLowestRankAndTheClientAboveItsFairShareFirst)
 {
   VirtualClock clock;
   Admission admission({}, clock, 1);
@@ -156,9 +156,9 @@
   BOOST_TEST(shed.error().retryAfter.has_value());
 }
 
-/// Load pattern: the first requests of a client in a large deployment that has been idle. Grounds: its bucket took all
-/// others for cut off, as no daemon had a total to tell, and refused a quarter of the first requests.
-BOOST_AUTO_TEST_CASE(AClientThatNobodyHasAskedForYetHasItsWholeBucket)
+/// The first requests of a client in a large idle deployment. Guards against a bucket that treats all other daemons as
+/// unreachable because none of them has a total to report for the client; it refused a quarter of the first requests.
+BOOST_AUTO_TEST_CASE(ClientWithoutPriorDemandHasItsFullBucket)
 {
   constexpr int kDaemons = 295;
   VirtualClock clock;
--- a/UnitTests/Admission/DemandSumTests.cpp
+++ b/UnitTests/Admission/DemandSumTests.cpp
@@ -22,7 +22,7 @@
 constexpr PooledLimit kLimit{ 6000, 6000, 500 };
 constexpr Milliseconds kInterval{ 400 };
 
-/// Daemons of one client's limit, in groups whose first daemon sums what the others tell.
+/// Daemons that share one client's limit, in groups. One sum per group aggregates the reports of its daemons.
 class Fleet
 {
 public:
@@ -33,35 +33,35 @@
     , groups(this->members.size(), DemandSum({}, clock))
   {
     for (PooledBucket& bucket : this->limit.buckets) {
-      bucket.OnInterval(static_cast<int>(aDaemons), this->clock.Now());
+      bucket.OnSendInterval(static_cast<int>(aDaemons), this->clock.Now());
     }
-    this->connected = this->members.size();
+    this->connectedGroups = this->members.size();
     this->limit.reaches = [this](std::size_t aFrom, std::size_t aTo) {
       const std::size_t from = aFrom / this->perGroup;
       const std::size_t to = aTo / this->perGroup;
-      return from == to || std::max(from, to) < this->connected;
+      return from == to || std::max(from, to) < this->connectedGroups;
     };
   }
   Fleet(const Fleet&) = delete;
   Fleet& operator=(const Fleet&) = delete;
 
-  /// One interval: daemons tell their group, groups tell each other, daemons hear the sum.
-  /// @param aConnected  groups that hear each other, from the first on
-  void Exchange(std::size_t aConnected)
+  /// One interval: daemons report to their group, groups report to each other, daemons receive the sum.
+  /// @param aConnectedGroups  number of groups that reach each other, starting with the first
+  void Exchange(std::size_t aConnectedGroups)
   {
     this->clock.Advance(kInterval);
-    this->connected = aConnected;
+    this->connectedGroups = aConnectedGroups;
     const TimePoint now = this->clock.Now();
     std::vector<PooledBucket>& buckets = this->limit.buckets;
     for (std::size_t index = 0; index < buckets.size(); ++index) {
-      buckets[index].OnInterval(static_cast<int>(buckets.size()), now);
-      const std::array<ClientDemand, 1> told{ ClientDemand{ kClient, 0, 0,
-                                                            buckets[index].AdmittedTotal() } };
-      this->members[index / this->perGroup].OnTold(index, 1, 1, told);
+      buckets[index].OnSendInterval(static_cast<int>(buckets.size()), now);
+      const std::array<ClientDemand, 1> report{ ClientDemand{ kClient, 0, 0,
+                                                              buckets[index].AdmittedTotal() } };
+      this->members[index / this->perGroup].OnTold(index, 1, 1, report);
     }
-    for (std::size_t from = 0; from < aConnected; ++from) {
+    for (std::size_t from = 0; from < aConnectedGroups; ++from) {
       const DemandOfOthers sum = this->members[from].Sum();
-      for (std::size_t to = 0; to < aConnected; ++to) {
+      for (std::size_t to = 0; to < aConnectedGroups; ++to) {
         if (to != from) {
           this->groups[to].OnTold(from, 1, sum.daemons, sum.demand);
         }
@@ -69,10 +69,11 @@
     }
     for (std::size_t index = 0; index < buckets.size(); ++index) {
       const std::size_t group = index / this->perGroup;
-      const DemandOfOthers near = this->members[group].SumOfOthers(index);
-      const DemandOfOthers far = this->groups[group].Sum();
-      const double total = Total(near) + Total(far);
-      buckets[index].OnPeer(0, total, now, near.daemons + far.daemons, near.series);
+      const DemandOfOthers groupSum = this->members[group].SumOfOthers(index);
+      const DemandOfOthers otherGroupsSum = this->groups[group].Sum();
+      const double total = Total(groupSum) + Total(otherGroupsSum);
+      buckets[index].OnPeer(0, total, now, groupSum.daemons + otherGroupsSum.daemons,
+                            groupSum.series);
     }
   }
 
@@ -81,21 +82,21 @@
     return aSum.demand.empty() ? 0 : aSum.demand.front().admittedTotal;
   }
 
-  /// Lets all hear of each other.
-  void Settle()
+  /// Exchanges totals until all daemons have received those of all others.
+  void ExchangeUntilSettled()
   {
     for (int interval = 0; interval < 20; ++interval) {
       this->Exchange(this->members.size());
     }
   }
 
-  /// One client asks for so many tokens in requests of one size, each at the next daemon in turn.
+  /// Sends requests of one size for a number of tokens in total, to the daemons in turn.
   /// @return tokens admitted
-  double Ask(double aTokens, double aPerRequest)
+  double SendRequests(double aTokens, double aPerRequest)
   {
     double admitted = 0;
-    for (double asked = 0; asked < aTokens; asked += aPerRequest) {
-      const std::size_t daemon = this->next++ % this->limit.buckets.size();
+    for (double requested = 0; requested < aTokens; requested += aPerRequest) {
+      const std::size_t daemon = this->nextDaemon++ % this->limit.buckets.size();
       admitted += this->limit.Take(daemon, aPerRequest, this->clock.Now()) == 0 ? aPerRequest : 0;
     }
     return admitted;
@@ -104,23 +105,24 @@
   VirtualClock clock;
   std::size_t perGroup;
   SharedLimit limit;
-  std::size_t connected = 0;      ///< Groups that reach each other, from the first on.
+  std::size_t connectedGroups =
+    0; ///< Number of groups that reach each other, starting with the first.
   std::vector<DemandSum> members; ///< By group.
-  std::size_t next = 0;           ///< Daemon that is asked next.
-  std::vector<DemandSum> groups;  ///< What each group hears of the others.
+  std::size_t nextDaemon = 0;     ///< Daemon that receives the next request.
+  std::vector<DemandSum> groups;  ///< Reports that each group received from the others.
 };
 
-/// What a client far above its limit asks for, in tokens per second.
-constexpr double kAskedRate = 6 * kLimit.rate;
+/// Tokens per second requested by a client far above its limit.
+constexpr double kRequestedRate = 6 * kLimit.rate;
 
-/// Lets the client ask for some intervals. @return tokens admitted
+/// Sends the client's requests for some intervals. @return tokens admitted
 double
-AskFor(Fleet& aFleet, int aIntervals, std::size_t aConnected, double aPerRequest)
+SendForIntervals(Fleet& aFleet, int aIntervals, std::size_t aConnectedGroups, double aPerRequest)
 {
   double admitted = 0;
   for (int interval = 0; interval < aIntervals; ++interval) {
-    admitted += aFleet.Ask(kAskedRate * ToSeconds(kInterval), aPerRequest);
-    aFleet.Exchange(aConnected);
+    admitted += aFleet.SendRequests(kRequestedRate * ToSeconds(kInterval), aPerRequest);
+    aFleet.Exchange(aConnectedGroups);
   }
   return admitted;
 }
@@ -129,7 +131,7 @@
 
 BOOST_AUTO_TEST_SUITE(DemandSumTests)
 
-BOOST_AUTO_TEST_CASE(TellsEachSourceTheSumOfTheOthers)
+BOOST_AUTO_TEST_CASE(SumOfOthersExcludesTheSourceItself)
 {
   VirtualClock clock;
   DemandSum sum({}, clock);
@@ -140,19 +142,19 @@
   BOOST_TEST(others.daemons == 3);
   BOOST_TEST(others.demand.front().tokensPerSecond == 20);
   BOOST_TEST(others.demand.front().running == 1);
-  // It counts from where each began
+  // The first total of each source is its baseline
   BOOST_TEST(others.demand.front().admittedTotal == 50);
   BOOST_TEST(sum.SumOfOthers(2).demand.front().admittedTotal == 0);
 }
 
-BOOST_AUTO_TEST_CASE(ATotalNeverFallsWhateverBecomesOfItsSources)
+BOOST_AUTO_TEST_CASE(AdmittedTotalNeverDecreasesWhenASourceRestartsOrIsRemoved)
 {
   VirtualClock clock;
   DemandSum sum({}, clock);
   sum.OnTold(1, 1, 1, std::array{ ClientDemand{ kClient, 10, 2, 100 } });
   sum.OnTold(2, 1, 1, std::array{ ClientDemand{ kClient, 10, 2, 0 } });
   sum.OnTold(2, 1, 1, std::array{ ClientDemand{ kClient, 10, 2, 500 } });
-  // It starts anew and counts from zero
+  // The source restarts and counts from zero
   sum.OnTold(2, 2, 1, std::array{ ClientDemand{ kClient, 10, 2, 0 } });
   BOOST_TEST(sum.SumOfOthers(1).demand.front().admittedTotal == 500);
   sum.OnTold(2, 2, 1, std::array{ ClientDemand{ kClient, 10, 2, 30 } });
@@ -165,7 +167,7 @@
   BOOST_TEST(rest.daemons == 0);
 }
 
-BOOST_AUTO_TEST_CASE(ASourceThatBeginsAnewIsToldAnotherSeries)
+BOOST_AUTO_TEST_CASE(SourceAddedAgainGetsANewSeries)
 {
   VirtualClock clock;
   DemandSum sum({}, clock);
@@ -177,7 +179,7 @@
   BOOST_TEST(sum.SumOfOthers(1).series != before);
 }
 
-BOOST_AUTO_TEST_CASE(MoreClientsThanAnyDeploymentHasAreLeftOut)
+BOOST_AUTO_TEST_CASE(ClientsBeyondTheMaximumAreIgnored)
 {
   VirtualClock clock;
   DemandSumSettings settings;
@@ -189,32 +191,34 @@
   BOOST_TEST(sum.Sum().demand.size() == 2U);
 }
 
-/// Load pattern: one client asks six times its limit, evenly at all daemons of a fleet of any size, told through groups.
-/// Grounds: above half of the bucket daemons give out what is asked for until they hear of each other, two
-/// intervals later; that, and no more, may be given beyond the limit, however many daemons there are.
-BOOST_DATA_TEST_CASE(ALimitHoldsOverAFleetOfAnySize,
+/// One client requests six times its limit, evenly distributed over all daemons of a deployment of any size; totals are
+/// exchanged through groups. While the bucket is more than half full, daemons admit all requests until they receive
+/// each other's totals, two intervals later. Only this amount may be admitted beyond the limit, for any number of
+/// daemons.
+BOOST_DATA_TEST_CASE(LimitHoldsForAnyNumberOfDaemons,
                      boost::unit_test::data::make({ 20, 100, 300, 600 }), daemons)
 {
   Fleet fleet(static_cast<std::size_t>(daemons), 50);
-  fleet.Settle();
+  fleet.ExchangeUntilSettled();
   constexpr int kIntervals = 40;
-  const double admitted = AskFor(fleet, kIntervals, fleet.members.size(), 100);
+  const double admitted = SendForIntervals(fleet, kIntervals, fleet.members.size(), 100);
   const double seconds = ToSeconds(kInterval) * kIntervals;
   BOOST_TEST(admitted <= kLimit.rate * seconds + kLimit.capacity + kLimit.slack +
-                           2 * kAskedRate * ToSeconds(kInterval));
+                           2 * kRequestedRate * ToSeconds(kInterval));
   BOOST_TEST(admitted >= kLimit.rate * seconds * 0.8);
 }
 
-/// Load pattern: the same while every group hears only itself, as when all failure domains are cut off from each other.
-/// Grounds: once the silence shows, each side keeps to its daemons' part, so that all together stay within the limit.
-BOOST_DATA_TEST_CASE(GroupsCutOffKeepToTheirParts, boost::unit_test::data::make({ 100, 300, 600 }),
-                     daemons)
+/// The same load while no group reaches another, as in a network partition between all failure domains. Once the groups
+/// have detected the partition, each must stay within the share of its daemons, so that all together stay within the
+/// limit.
+BOOST_DATA_TEST_CASE(PartitionedGroupsStayWithinTheirShares,
+                     boost::unit_test::data::make({ 100, 300, 600 }), daemons)
 {
   Fleet fleet(static_cast<std::size_t>(daemons), 50);
-  fleet.Settle();
-  AskFor(fleet, 8, 0, 1);
+  fleet.ExchangeUntilSettled();
+  SendForIntervals(fleet, 8, 0, 1);
   constexpr int kIntervals = 40;
-  const double admitted = AskFor(fleet, kIntervals, 0, 1);
+  const double admitted = SendForIntervals(fleet, kIntervals, 0, 1);
   const double seconds = ToSeconds(kInterval) * kIntervals;
   BOOST_TEST(admitted <= kLimit.rate * seconds + kLimit.capacity + kLimit.slack);
   BOOST_TEST(admitted >= kLimit.rate * seconds * 0.4);
--- a/UnitTests/Admission/EndpointLimitsTests.cpp
+++ b/UnitTests/Admission/EndpointLimitsTests.cpp
@@ -17,7 +17,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(EndpointLimitsTests, Fixture)
 
-BOOST_AUTO_TEST_CASE(APermitIsWantedWhereALimitWasNamedLast)
+BOOST_AUTO_TEST_CASE(PermitIsRequestedIfTheLastAnswerAdvertisedALimit)
 {
   BOOST_TEST(!this->limits.WantedPermit("e").has_value());
   this->limits.OnNamed("e", 1.5);
@@ -33,29 +33,29 @@
   BOOST_TEST(!this->limits.WantedPermit("e").has_value());
 }
 
-BOOST_AUTO_TEST_CASE(ALimitThatNobodyCanReachIsNone)
+BOOST_AUTO_TEST_CASE(LimitAboveTheLargestIsTreatedAsNone)
 {
   this->limits.OnNamed("e", 1);
   this->limits.OnNamed("e", 1e30);
   BOOST_TEST(!this->limits.WantedPermit("e").has_value());
 }
 
-BOOST_AUTO_TEST_CASE(TheKeepersAreToldOnceThatALimitIsLifted)
+BOOST_AUTO_TEST_CASE(ListenerIsCalledOnceWhenALimitIsLifted)
 {
-  int told = 0;
-  this->limits.OnLifted([&](const PermitRequest& aNews) {
-    ++told;
-    BOOST_TEST(!aNews.isLimited);
-    BOOST_TEST(!aNews.wants);
+  int calls = 0;
+  this->limits.OnLifted([&](const PermitRequest& aUpdate) {
+    ++calls;
+    BOOST_TEST(!aUpdate.isLimited);
+    BOOST_TEST(!aUpdate.wants);
   });
   this->limits.OnNoneNamed("e");
   this->limits.OnNamed("e", 1);
   this->limits.OnNoneNamed("e");
   this->limits.OnNoneNamed("e");
-  BOOST_TEST(told == 1);
+  BOOST_TEST(calls == 1);
 }
 
-BOOST_AUTO_TEST_CASE(WhatGotNoPermitIsBlockedForThatTime)
+BOOST_AUTO_TEST_CASE(EndpointWithoutPermitIsBlockedForTheWaitTime)
 {
   this->limits.OnNamed("a", 1);
   this->limits.OnNamed("b", 1);
@@ -73,14 +73,14 @@
   BOOST_TEST(!this->limits.UntilNextUnblocked(both).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(AKeeperThatKnowsOfNoLimitEndsIt)
+BOOST_AUTO_TEST_CASE(UnlimitedReplyRemovesTheLimit)
 {
   this->limits.OnNamed("a", 1);
   this->limits.OnNoPermit("a", { PermitAnswer::Unlimited, 0 });
   BOOST_TEST(!this->limits.WantedPermit("a").has_value());
 }
 
-BOOST_AUTO_TEST_CASE(ManyEndpointsAreKnownWithinABound)
+BOOST_AUTO_TEST_CASE(NumberOfLimitedEndpointsIsBounded)
 {
   for (int index = 0; index < 10'000; ++index) {
     this->limits.OnNamed("e" + std::to_string(index), 1);
--- a/UnitTests/Admission/PermitBookTests.cpp
+++ b/UnitTests/Admission/PermitBookTests.cpp
@@ -19,33 +19,35 @@
 constexpr Milliseconds kStep{ 10 };
 constexpr Seconds kWindow{ 4 };
 
-/// What is borne in some four seconds, after the users' statement: one and a half times the limit, and five.
+/// Requests that an endpoint may receive in a window of four seconds, as stated by the users: one and a half times the
+/// limit, plus five.
 double
-Borne(double aPerSecond)
+AllowedInWindow(double aPerSecond)
 {
   return 1.5 * aPerSecond * 4 + 5;
 }
 
-/// Daemons that all have more to send to one endpoint than it takes, and its keepers.
+/// Daemons that all have more requests for one endpoint than its limit allows, and the owners of the endpoint.
 class Fleet
 {
 public:
   Fleet(int aDaemons, double aPerSecond)
     : daemons(aDaemons)
     , perSecond(aPerSecond)
-    , nextAsk(static_cast<std::size_t>(aDaemons), this->clock.Now())
+    , nextRequestAt(static_cast<std::size_t>(aDaemons), this->clock.Now())
   {
     for (int index = 0; index < aDaemons; ++index) {
-      this->books.push_back(std::make_unique<PermitBook>(PermitSettings{}, this->clock));
+      this->ledgers.push_back(std::make_unique<PermitBook>(PermitSettings{}, this->clock));
     }
   }
 
-  /// Plays on. Each daemon asks the primary that it believes in, and the backup where that one has none.
-  void Play(Milliseconds aSpan)
+  /// Runs the simulation. Each daemon requests permits from the primary in its list of daemons, and from the backup if
+  /// the primary grants none.
+  void Run(Milliseconds aDuration)
   {
-    for (Milliseconds played{ 0 }; played < aSpan; played += kStep) {
+    for (Milliseconds elapsed{ 0 }; elapsed < aDuration; elapsed += kStep) {
       for (int daemon = 0; daemon < this->daemons; ++daemon) {
-        this->AskFor(daemon);
+        this->SendIfPermitted(daemon);
       }
       this->clock.Advance(kStep);
     }
@@ -55,67 +57,67 @@
   {
     const auto count = std::count_if(this->sent.begin(), this->sent.end(),
                                      [&](TimePoint aEach) { return aEach >= aSince; });
-    const std::chrono::duration<double> span = this->clock.Now() - aSince;
-    return static_cast<double>(count) / span.count();
+    const std::chrono::duration<double> elapsed = this->clock.Now() - aSince;
+    return static_cast<double>(count) / elapsed.count();
   }
 
   VirtualClock clock;
   int primary = 0;
   int backup = 1;
-  int oldPrimary = -1;   ///< In which some of the daemons still believe.
-  bool isSilent = false; ///< The primary answers nobody.
-  bool isSettled = true; ///< Whether the daemons have been the same for a while.
-  double overshare = 0;  ///< Most of what is borne within any window.
+  int previousPrimary = -1;     ///< Still the primary in the lists of half of the daemons.
+  bool isPrimarySilent = false; ///< The primary does not reply.
+  bool isSettled = true;        ///< Passed to PermitBook::Serve().
+  double highestLoad = 0;       ///< Requests in any window, relative to AllowedInWindow().
 
 private:
-  void AskFor(int aDaemon)
+  void SendIfPermitted(int aDaemon)
   {
     const auto index = static_cast<std::size_t>(aDaemon);
-    if (this->clock.Now() < this->nextAsk[index]) {
+    if (this->clock.Now() < this->nextRequestAt[index]) {
       return;
     }
-    const bool isLate = this->oldPrimary >= 0 && aDaemon % 2 == 0;
-    const int asked = isLate ? this->oldPrimary : this->primary;
+    const bool isOutdated = this->previousPrimary >= 0 && aDaemon % 2 == 0;
+    const int owner = isOutdated ? this->previousPrimary : this->primary;
     PermitReply reply;
-    if (!this->isSilent || asked != this->primary) {
-      // The one before takes itself for the primary as long as it has the older picture
-      reply = this->Ask(asked, ReserveRole::Primary);
+    if (!this->isPrimarySilent || owner != this->primary) {
+      // The previous primary considers itself the primary as long as it has the outdated list of daemons
+      reply = this->RequestPermit(owner, ReserveRole::Primary);
     }
     if (reply.answer != PermitAnswer::Granted) {
-      const PermitReply other = this->Ask(this->backup, ReserveRole::Backup);
-      const bool isBetter =
-        other.answer == PermitAnswer::Granted || reply.answer == PermitAnswer::NotKeeper;
-      reply = isBetter ? other : reply;
+      const PermitReply backupReply = this->RequestPermit(this->backup, ReserveRole::Backup);
+      const bool isBackupReplyUsed =
+        backupReply.answer == PermitAnswer::Granted || reply.answer == PermitAnswer::NotKeeper;
+      reply = isBackupReplyUsed ? backupReply : reply;
     }
     if (reply.answer == PermitAnswer::Granted) {
-      this->Note();
+      this->RecordSend();
     } else {
-      this->nextAsk[index] = this->clock.Now() + Milliseconds(std::max(reply.wait, 1U));
+      this->nextRequestAt[index] = this->clock.Now() + Milliseconds(std::max(reply.wait, 1U));
     }
   }
 
-  PermitReply Ask(int aKeeper, ReserveRole aRole)
+  PermitReply RequestPermit(int aOwner, ReserveRole aRole)
   {
     PermitRequest request;
     request.endpoint = kEndpoint;
     request.perSecond = this->perSecond;
-    return this->books[static_cast<std::size_t>(aKeeper)]->Serve(request, aRole, this->isSettled);
+    return this->ledgers[static_cast<std::size_t>(aOwner)]->Serve(request, aRole, this->isSettled);
   }
 
-  void Note()
+  void RecordSend()
   {
     this->sent.push_back(this->clock.Now());
-    const auto within = std::count_if(this->sent.begin(), this->sent.end(), [&](TimePoint aEach) {
-      return this->clock.Now() - aEach < kWindow;
-    });
-    this->overshare =
-      std::max(this->overshare, static_cast<double>(within) / Borne(this->perSecond));
+    const auto sentInWindow =
+      std::count_if(this->sent.begin(), this->sent.end(),
+                    [&](TimePoint aEach) { return this->clock.Now() - aEach < kWindow; });
+    this->highestLoad = std::max(this->highestLoad, static_cast<double>(sentInWindow) /
+                                                      AllowedInWindow(this->perSecond));
   }
 
   int daemons;
   double perSecond;
-  std::vector<TimePoint> nextAsk;
-  std::vector<std::unique_ptr<PermitBook>> books;
+  std::vector<TimePoint> nextRequestAt;
+  std::vector<std::unique_ptr<PermitBook>> ledgers;
   std::deque<TimePoint> sent;
 };
 
@@ -123,99 +125,100 @@
 
 BOOST_AUTO_TEST_SUITE(PermitBookTests)
 
-/// Load pattern: every daemon has more to send to one endpoint than it takes. Grounds: what it gets has the stated bound
-/// whatever the number of daemons, and what it takes is not wasted.
-BOOST_DATA_TEST_CASE(AllDaemonsTogetherKeepTheLimitAndUseIt,
+/// Every daemon has more requests for one endpoint than its limit allows. The requests sent must stay within the stated
+/// bound for any number of daemons, and must use the limit.
+BOOST_DATA_TEST_CASE(AllDaemonsTogetherStayWithinTheLimitAndUseIt,
                      boost::unit_test::data::make({ 2, 8, 40, 300, 600 }) *
                        boost::unit_test::data::make({ 0.4, 1.4, 12.0 }),
                      daemons, perSecond)
 {
   Fleet fleet(daemons, perSecond);
-  fleet.Play(Seconds(2));
-  const TimePoint begun = fleet.clock.Now();
-  fleet.Play(Seconds(30));
-  BOOST_TEST(fleet.overshare <= 1);
-  BOOST_TEST(fleet.PerSecondSent(begun) >= 0.9 * perSecond);
+  fleet.Run(Seconds(2));
+  const TimePoint startedAt = fleet.clock.Now();
+  fleet.Run(Seconds(30));
+  BOOST_TEST(fleet.highestLoad <= 1);
+  BOOST_TEST(fleet.PerSecondSent(startedAt) >= 0.9 * perSecond);
 }
 
-/// The primary changes while half of the daemons believe in the one before for some seconds.
-BOOST_DATA_TEST_CASE(AKeeperThatTakesOverKeepsTheLimit,
+/// The primary changes, and half of the daemons still use the previous one for some seconds.
+BOOST_DATA_TEST_CASE(LimitHoldsWhileThePrimaryOwnerChanges,
                      boost::unit_test::data::make({ 4, 40, 300 }) *
                        boost::unit_test::data::make({ 0.4, 1.4, 12.0 }),
                      daemons, perSecond)
 {
   Fleet fleet(daemons, perSecond);
-  fleet.Play(Seconds(10));
+  fleet.Run(Seconds(10));
   fleet.isSettled = false;
-  fleet.oldPrimary = fleet.primary;
+  fleet.previousPrimary = fleet.primary;
   fleet.primary = 2;
-  fleet.Play(Seconds(4));
-  fleet.oldPrimary = -1;
-  fleet.Play(Seconds(4));
-  // The backup becomes the primary, too
+  fleet.Run(Seconds(4));
+  fleet.previousPrimary = -1;
+  fleet.Run(Seconds(4));
+  // Then the backup becomes the primary
   fleet.primary = fleet.backup;
   fleet.backup = 3;
-  fleet.Play(Seconds(20));
-  BOOST_TEST(fleet.overshare <= 1);
+  fleet.Run(Seconds(20));
+  BOOST_TEST(fleet.highestLoad <= 1);
 }
 
-BOOST_DATA_TEST_CASE(WhereThePrimaryIsSilentTheBackupGivesSome,
+BOOST_DATA_TEST_CASE(BackupGrantsPermitsIfThePrimaryDoesNotReply,
                      boost::unit_test::data::make({ 1.4, 12.0 }), perSecond)
 {
   Fleet fleet(40, perSecond);
-  fleet.Play(Seconds(5));
-  fleet.isSilent = true;
-  const TimePoint begun = fleet.clock.Now();
-  fleet.Play(Seconds(20));
-  BOOST_TEST(fleet.overshare <= 1);
-  BOOST_TEST(fleet.PerSecondSent(begun) >= 0.15 * perSecond);
+  fleet.Run(Seconds(5));
+  fleet.isPrimarySilent = true;
+  const TimePoint startedAt = fleet.clock.Now();
+  fleet.Run(Seconds(20));
+  BOOST_TEST(fleet.highestLoad <= 1);
+  BOOST_TEST(fleet.PerSecondSent(startedAt) >= 0.15 * perSecond);
 }
 
-BOOST_AUTO_TEST_CASE(AnEndpointThatTakesNoneIsStillAskedNowAndThen)
+BOOST_AUTO_TEST_CASE(EndpointWithAZeroLimitGetsRequestsAtTheLowestRate)
 {
   Fleet fleet(8, 0);
-  fleet.Play(Seconds(30));
-  BOOST_TEST(fleet.overshare <= 1);
+  fleet.Run(Seconds(30));
+  BOOST_TEST(fleet.highestLoad <= 1);
   BOOST_TEST(fleet.PerSecondSent(fleet.clock.Now() - Seconds(20)) > 0.1);
 }
 
-BOOST_AUTO_TEST_CASE(TheNewestAnswerHolds)
+BOOST_AUTO_TEST_CASE(NewestAnswerDeterminesTheLimit)
 {
   VirtualClock clock;
-  PermitBook book({}, clock);
+  PermitBook ledger({}, clock);
   clock.Advance(Seconds(100));
-  const auto ask = [&](PermitRequest aRequest) {
+  const auto serve = [&](PermitRequest aRequest) {
     aRequest.endpoint = kEndpoint;
-    return book.Serve(aRequest, ReserveRole::Primary, true).answer;
+    return ledger.Serve(aRequest, ReserveRole::Primary, true).answer;
   };
-  BOOST_TEST((ask({ .perSecond = 1, .age = 100 }) == PermitAnswer::Granted));
-  // Some daemon has since had an answer without a limit
-  static_cast<void>(ask({ .isLimited = false, .age = 50, .wants = false }));
-  BOOST_TEST((ask({ .perSecond = 1, .age = 2000 }) == PermitAnswer::Unlimited));
-  // And another one with a limit again
-  BOOST_TEST((ask({ .perSecond = 1, .age = 0 }) == PermitAnswer::Granted));
-  BOOST_TEST((ask({ .perSecond = 1, .age = 0 }) == PermitAnswer::Wait));
+  BOOST_TEST((serve({ .perSecond = 1, .age = 100 }) == PermitAnswer::Granted));
+  // Another daemon has received a newer answer without a limit
+  static_cast<void>(serve({ .isLimited = false, .age = 50, .wants = false }));
+  BOOST_TEST((serve({ .perSecond = 1, .age = 2000 }) == PermitAnswer::Unlimited));
+  // A still newer answer has a limit again
+  BOOST_TEST((serve({ .perSecond = 1, .age = 0 }) == PermitAnswer::Granted));
+  BOOST_TEST((serve({ .perSecond = 1, .age = 0 }) == PermitAnswer::Wait));
 }
 
-BOOST_AUTO_TEST_CASE(WhoKeepsNothingAndWhatIsImplausibleChangeNothing)
+BOOST_AUTO_TEST_CASE(RequestsToANonOwnerAndImplausibleRequestsAreRejected)
 {
   VirtualClock clock;
-  PermitBook book({}, clock);
+  PermitBook ledger({}, clock);
   PermitRequest request;
   request.endpoint = kEndpoint;
   request.perSecond = 1;
-  BOOST_TEST((book.Serve(request, ReserveRole::None, true).answer == PermitAnswer::NotKeeper));
+  BOOST_TEST((ledger.Serve(request, ReserveRole::None, true).answer == PermitAnswer::NotKeeper));
   for (const double perSecond : { -1.0, std::numeric_limits<double>::infinity(),
                                   std::numeric_limits<double>::quiet_NaN() }) {
     request.perSecond = perSecond;
-    BOOST_TEST((book.Serve(request, ReserveRole::Primary, true).answer == PermitAnswer::NotKeeper));
+    BOOST_TEST(
+      (ledger.Serve(request, ReserveRole::Primary, true).answer == PermitAnswer::NotKeeper));
   }
   request.perSecond = 1;
   request.age = -1;
-  BOOST_TEST((book.Serve(request, ReserveRole::Primary, true).answer == PermitAnswer::NotKeeper));
-  // What was heard long ago still counts, or nobody would ever be permitted again
+  BOOST_TEST((ledger.Serve(request, ReserveRole::Primary, true).answer == PermitAnswer::NotKeeper));
+  // An old limit still applies; otherwise no permit would be granted again
   request.age = std::numeric_limits<std::int64_t>::max();
-  BOOST_TEST((book.Serve(request, ReserveRole::Primary, true).answer == PermitAnswer::Granted));
+  BOOST_TEST((ledger.Serve(request, ReserveRole::Primary, true).answer == PermitAnswer::Granted));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/UnitTests/Admission/PoisonGuardTests.cpp
+++ b/UnitTests/Admission/PoisonGuardTests.cpp
@@ -18,7 +18,7 @@
 
 struct Fixture
 {
-  /// An endpoint is lost with the request, which was sent there some time before.
+  /// An endpoint is lost while it runs the request, which was sent there some time before.
   void Crash(std::uint64_t aEndpoint, std::uint64_t aDomain,
              Milliseconds aSentBefore = Milliseconds(50))
   {
@@ -29,20 +29,20 @@
   PoisonGuard guard{ {}, clock };
 };
 
-/// Daemons whose news of requests take a time, and get lost.
+/// Daemons whose notes are sent at an interval and may be lost.
 class Fleet
 {
 public:
-  /// A request that crashes each endpoint comes to daemons by chance.
-  Fleet(int aDaemons, Milliseconds aNews, double aLost, std::uint64_t aSeed)
-    : news(aNews)
-    , lost(aLost)
+  /// A request that crashes each endpoint is received by random daemons.
+  Fleet(int aDaemons, Milliseconds aUpdateInterval, double aLossProbability, std::uint64_t aSeed)
+    : updateInterval(aUpdateInterval)
+    , lossProbability(aLossProbability)
     , random(aSeed)
   {
     for (int index = 0; index < aDaemons; ++index) {
       this->guards.push_back(std::make_unique<PoisonGuard>(PoisonSettings{}, this->clock));
     }
-    // Two daemons keep the request's key
+    // Two daemons own the request's key
     for (auto& guard : this->guards) {
       guard->OnReport([this](const CrashReport& aReport) {
         this->guards.front()->OnToldCrash(aReport);
@@ -51,37 +51,37 @@
     }
   }
 
-  /// Plays a minute. @return sends later than the bound after the third crash
-  int Play(Milliseconds aBetween, Milliseconds aBound)
+  /// Runs for one minute. @return number of sends later than the bound after the third crash
+  int Run(Milliseconds aRequestInterval, Milliseconds aBound)
   {
-    const TimePoint begin = this->clock.Now();
-    TimePoint nextNews = begin + this->news;
-    std::optional<TimePoint> third;
+    const TimePoint startedAt = this->clock.Now();
+    TimePoint nextUpdateAt = startedAt + this->updateInterval;
+    std::optional<TimePoint> thirdCrashAt;
     int crashes = 0;
-    int late = 0;
-    for (TimePoint now = begin; now < begin + Seconds(60); now += aBetween) {
+    int lateSends = 0;
+    for (TimePoint now = startedAt; now < startedAt + Seconds(60); now += aRequestInterval) {
       this->clock.Advance(now - this->clock.Now());
-      if (now >= nextNews) {
-        this->Spread();
-        nextNews += this->news;
+      if (now >= nextUpdateAt) {
+        this->SendNotes();
+        nextUpdateAt += this->updateInterval;
       }
       PoisonGuard& guard = *this->guards[this->random() % this->guards.size()];
       if (guard.IsPoisoned(kRequest)) {
         continue;
       }
-      late += third && now > *third + aBound ? 1 : 0;
+      lateSends += thirdCrashAt && now > *thirdCrashAt + aBound ? 1 : 0;
       ++crashes;
       guard.OnCrash({ kRequest, static_cast<std::uint64_t>(crashes), this->random() % 4, 0, 0 });
-      third = crashes == 3 ? now : third;
+      thirdCrashAt = crashes == 3 ? now : thirdCrashAt;
     }
-    return late;
+    return lateSends;
   }
 
 private:
-  /// One hop of news: from the keepers to all others, some lost.
-  void Spread()
+  /// Sends the notes of an owner of the key to all daemons; some are lost.
+  void SendNotes()
   {
-    std::bernoulli_distribution isLost(this->lost);
+    std::bernoulli_distribution isLost(this->lossProbability);
     const auto notes = this->guards.front()->Notes();
     for (auto& guard : this->guards) {
       if (!isLost(this->random)) {
@@ -91,8 +91,8 @@
   }
 
   VirtualClock clock;
-  Milliseconds news;
-  double lost;
+  Milliseconds updateInterval;
+  double lossProbability;
   std::mt19937_64 random;
   std::vector<std::unique_ptr<PoisonGuard>> guards;
 };
@@ -101,24 +101,25 @@
 
 BOOST_FIXTURE_TEST_SUITE(PoisonGuardTests, Fixture)
 
-/// Load pattern: a request that crashes each endpoint comes to daemons by chance. Grounds: three crashes convict it, and
-/// from the time on by which daemons in touch have each other's news at most three more sends are borne.
-BOOST_DATA_TEST_CASE(FewSendsPassOnceNewsHaveHadTheirTime,
+/// A request that crashes each endpoint is received by random daemons. It is poisoned after three crashes; once
+/// connected daemons must have received each other's notes, at most three more sends are allowed.
+BOOST_DATA_TEST_CASE(AtMostThreeSendsAfterTheUpdateDelay,
                      boost::unit_test::data::make({ 2, 8, 40, 300, 600 }) *
                        boost::unit_test::data::make({ 30, 300, 1900 }) *
                        boost::unit_test::data::make({ 0.0, 0.3 }),
-                     daemons, between, lost)
+                     daemons, requestInterval, lossProbability)
 {
-  // Three rounds of news at the most: a quarter of a second each, two on a slow day
-  for (const Milliseconds news : { Milliseconds(250), Milliseconds(1000) }) {
-    Fleet fleet(daemons, news, lost, static_cast<std::uint64_t>(daemons + between));
-    // A lost round is made up for by the next
-    const Milliseconds bound = lost > 0 ? 5 * news : 3 * news;
-    BOOST_TEST(fleet.Play(Milliseconds(between), std::max(bound, Milliseconds(3000))) <= 3);
+  // At most three rounds of notes, a quarter of a second each, up to two seconds under load
+  for (const Milliseconds updateInterval : { Milliseconds(250), Milliseconds(1000) }) {
+    Fleet fleet(daemons, updateInterval, lossProbability,
+                static_cast<std::uint64_t>(daemons + requestInterval));
+    // Notes lost in one round are sent again in the next
+    const Milliseconds bound = lossProbability > 0 ? 5 * updateInterval : 3 * updateInterval;
+    BOOST_TEST(fleet.Run(Milliseconds(requestInterval), std::max(bound, Milliseconds(3000))) <= 3);
   }
 }
 
-BOOST_AUTO_TEST_CASE(ThreeCrashesConvict)
+BOOST_AUTO_TEST_CASE(RequestIsPoisonedAfterThreeCrashes)
 {
   this->Crash(1, 1);
   this->clock.Advance(Seconds(2));
@@ -131,7 +132,7 @@
   BOOST_TEST(this->guard.Poisoned() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(AFailureDomainThatGoesConvictsNoneOfItsRequests)
+BOOST_AUTO_TEST_CASE(LossOfAFailureDomainCountsAsOneCrash)
 {
   for (std::uint64_t endpoint = 1; endpoint <= 20; ++endpoint) {
     this->Crash(endpoint, 1);
@@ -140,7 +141,7 @@
   BOOST_TEST(!this->guard.IsSuspect(kRequest));
 }
 
-BOOST_AUTO_TEST_CASE(SentAfterAnEndItIsTriedAnew)
+BOOST_AUTO_TEST_CASE(CrashesInOneDomainCountSeparatelyIfSentAfterEachLoss)
 {
   for (std::uint64_t endpoint = 1; endpoint <= 3; ++endpoint) {
     this->Crash(endpoint, 1, Milliseconds(10));
@@ -149,7 +150,7 @@
   BOOST_TEST(this->guard.IsPoisoned(kRequest));
 }
 
-BOOST_AUTO_TEST_CASE(OneEndpointsEndCountsOnceHoweverOftenItIsSeen)
+BOOST_AUTO_TEST_CASE(RepeatedReportsOfOneEndpointCountOnce)
 {
   for (int time = 0; time < 5; ++time) {
     this->Crash(1, 1, Milliseconds(0));
@@ -158,9 +159,10 @@
   BOOST_TEST(!this->guard.IsSuspect(kRequest));
 }
 
-/// Seen: before any stream had come to its end, three endpoints died of another request, each with some of the same
-/// streams on it, and those that came next were refused.
-BOOST_AUTO_TEST_CASE(ACrashInMidAnswerCountsHalf)
+/// Guards against poisoning streams that ran beside a request that crashes endpoints: before any stream had completed,
+/// three endpoints crashed because of another request, each with some of the same streams, and the next sends of these
+/// streams were refused.
+BOOST_AUTO_TEST_CASE(CrashAfterPartOfTheAnswerCountsHalf)
 {
   for (std::uint64_t endpoint = 1; endpoint <= 6; ++endpoint) {
     BOOST_TEST(!this->guard.IsPoisoned(kRequest));
@@ -170,7 +172,7 @@
   BOOST_TEST(this->guard.IsPoisoned(kRequest));
 }
 
-BOOST_AUTO_TEST_CASE(WhatRanWholeIsNotBlamed)
+BOOST_AUTO_TEST_CASE(RequestThatCompletedRecentlyIsNotBlamed)
 {
   for (std::uint64_t endpoint = 1; endpoint <= 10; ++endpoint) {
     this->guard.OnWhole(kRequest);
@@ -180,7 +182,7 @@
   BOOST_TEST(!this->guard.IsSuspect(kRequest));
 }
 
-BOOST_AUTO_TEST_CASE(AWholeRunElsewhereClears)
+BOOST_AUTO_TEST_CASE(CompletionOnAnotherDaemonClearsTheRequest)
 {
   PoisonGuard other({}, this->clock);
   for (std::uint64_t endpoint = 1; endpoint <= 3; ++endpoint) {
@@ -188,18 +190,18 @@
     this->clock.Advance(Seconds(1));
   }
   other.OnWhole(kRequest);
-  // What is told to the one that saw it run is told back as cleared
+  // The daemon that observed the completion answers the note with the status Cleared
   other.OnNotes(this->guard.Notes());
   BOOST_TEST(!other.IsPoisoned(kRequest));
   this->guard.OnNotes(other.Notes());
   BOOST_TEST(!this->guard.IsPoisoned(kRequest));
-  // Nor are the crashes from before held against it
+  // Earlier crashes are not counted any more
   this->clock.Advance(Seconds(20));
   this->Crash(4, 4);
   BOOST_TEST(!this->guard.IsSuspect(kRequest));
 }
 
-BOOST_AUTO_TEST_CASE(AfterAWhileItIsTriedAgainAndOneCrashIsEnough)
+BOOST_AUTO_TEST_CASE(OneCrashAfterExpiryPoisonsTheRequestAgain)
 {
   for (std::uint64_t endpoint = 1; endpoint <= 3; ++endpoint) {
     this->Crash(endpoint, endpoint);
@@ -211,7 +213,7 @@
   BOOST_TEST(this->guard.IsPoisoned(kRequest));
 }
 
-BOOST_AUTO_TEST_CASE(NotesDoNotOutliveWhatTheyTell)
+BOOST_AUTO_TEST_CASE(NotesExchangedBetweenDaemonsExpire)
 {
   PoisonGuard other({}, this->clock);
   for (std::uint64_t endpoint = 1; endpoint <= 3; ++endpoint) {
@@ -227,8 +229,8 @@
   BOOST_TEST(!other.IsPoisoned(kRequest));
 }
 
-/// A caller who makes up requests must not push the one out that crashes endpoints.
-BOOST_AUTO_TEST_CASE(ManyCrashedRequestsPushNoConvictedOneOut)
+/// A caller that sends many different requests must not evict the crash count of the one that crashes endpoints.
+BOOST_AUTO_TEST_CASE(RequestsWithOneCrashDoNotEvictOneWithTwo)
 {
   for (std::uint64_t endpoint = 1; endpoint <= 2; ++endpoint) {
     this->Crash(endpoint, endpoint);
@@ -241,7 +243,7 @@
   BOOST_TEST(this->guard.IsPoisoned(kRequest));
 }
 
-BOOST_AUTO_TEST_CASE(ManyPoisonedRequestsAreToldWithinABound)
+BOOST_AUTO_TEST_CASE(NumberOfNotesIsBounded)
 {
   for (std::uint64_t request = 1000; request < 1500; ++request) {
     for (std::uint64_t endpoint = 1; endpoint <= 3; ++endpoint) {
@@ -252,12 +254,12 @@
   BOOST_TEST(this->guard.Notes().size() == PoisonSettings{}.maximumNotes);
 }
 
-BOOST_AUTO_TEST_CASE(ImplausibleNotesAndReportsChangeNothing)
+BOOST_AUTO_TEST_CASE(ImplausibleNotesAndReportsAreIgnored)
 {
   const std::vector<PoisonNote> notes{ { kRequest, static_cast<PoisonStanding>(9), 5000 } };
   this->guard.OnNotes(notes);
   BOOST_TEST(!this->guard.IsSuspect(kRequest));
-  // Of a crash long ago, or that is still to come
+  // Age beyond any retention
   for (std::uint64_t endpoint = 1; endpoint <= 3; ++endpoint) {
     this->guard.OnToldCrash(
       { kRequest, endpoint, endpoint, std::numeric_limits<std::int64_t>::max(), 0 });
--- a/UnitTests/Admission/RetryBudgetTests.cpp
+++ b/UnitTests/Admission/RetryBudgetTests.cpp
@@ -24,9 +24,9 @@
   BOOST_TEST(budget.TryTake());
 }
 
-/// Every endpoint fails and every caller would retry for ever: what reaches the endpoints stays a
-/// small multiple of what callers sent, however many daemons there are.
-BOOST_AUTO_TEST_CASE(StormStaysWithinTheDeploymentsBudget)
+/// Every endpoint fails and every caller would retry without end: the requests that reach the endpoints must stay a
+/// small multiple of those that callers sent, for any number of daemons.
+BOOST_AUTO_TEST_CASE(RetriesStayWithinTheDeploymentsBudgetIfAllRequestsFail)
 {
   constexpr int kDaemons = 8;
   constexpr int kSeconds = 60;
