--- a/Lagoonward/Admission/DemandView.cpp
+++ b/Lagoonward/Admission/DemandView.cpp
@@ -29,11 +29,11 @@
   this->previousSent = std::move(this->lastSent);
   this->lastSent.assign(aDemand.begin(), aDemand.end());
 
-  this->RemoveSilentPeers();
+  this->RemoveStalePeers();
 }
 
 void
-DemandView::RemoveSilentPeers() const
+DemandView::RemoveStalePeers() const
 {
   if (this->peers.empty() ||
       this->clock.Now() - this->oldestReceivedAt <= this->settings.peerTimeout) {
@@ -84,7 +84,7 @@
 ClientShare
 DemandView::ShareOf(std::uint64_t aClient) const
 {
-  this->RemoveSilentPeers();
+  this->RemoveStalePeers();
   const double own = Find(this->previousSent, aClient).tokensPerSecond;
   const auto found = this->sums.find(aClient);
   const PeerSum others = found == this->sums.end() ? PeerSum{} : found->second;
@@ -101,7 +101,7 @@
 int
 DemandView::LiveDaemons() const
 {
-  this->RemoveSilentPeers();
+  this->RemoveStalePeers();
   return this->peerDaemons + 1;
 }
 
--- a/Lagoonward/Admission/DemandView.h
+++ b/Lagoonward/Admission/DemandView.h
@@ -82,7 +82,7 @@
   [[nodiscard]] bool IsLive(const Peer& aPeer) const;
   void AddToSums(const Peer& aPeer, int aSign) const;
   /// Removes peers whose last message is older than peerTimeout.
-  void RemoveSilentPeers() const;
+  void RemoveStalePeers() const;
 
   AdmissionSettings settings;
   const Clock& clock;
--- a/Lagoonward/Admission/PoisonGuard.cpp
+++ b/Lagoonward/Admission/PoisonGuard.cpp
@@ -155,7 +155,8 @@
       this->completions.erase(found);
     }
   }
-  // A request without crashes here needs no status: other daemons send a note once they have counted `crashesToSuspect`
+  // A request without crashes here needs no status: other daemons send a verdict once they have counted
+  // `crashesToSuspect`
   const bool hadCrashes = this->crashes.erase(aRequest) > 0;
   const StatusEntry* known = this->FindStatus(aRequest, now);
   if (hadCrashes || (known != nullptr && known->status != PoisonStanding::Cleared)) {
@@ -229,48 +230,49 @@
   const std::lock_guard lock(this->mutex);
   const TimePoint now = this->clock.Now();
   std::erase_if(this->statuses, [&](const auto& aEach) { return aEach.second.expiresAt <= now; });
-  std::vector<PoisonNote> notes;
+  std::vector<PoisonNote> verdicts;
   for (const auto& [request, each] : this->statuses) {
     const auto remaining = std::chrono::floor<Milliseconds>(each.expiresAt - now);
-    if (remaining > this->settings.minimumNoteLifetime) {
-      notes.push_back({ request, each.status, static_cast<std::uint32_t>(remaining.count()) });
+    if (remaining > this->settings.minimumVerdictLifetime) {
+      verdicts.push_back({ request, each.status, static_cast<std::uint32_t>(remaining.count()) });
     }
   }
-  if (notes.size() > this->settings.maximumNotes) {
-    const auto rank = [](const PoisonNote& aNote) {
-      return std::pair(aNote.status == PoisonStanding::Poisoned, aNote.expiresIn);
+  if (verdicts.size() > this->settings.maximumVerdicts) {
+    const auto rank = [](const PoisonNote& aVerdict) {
+      return std::pair(aVerdict.status == PoisonStanding::Poisoned, aVerdict.expiresIn);
     };
-    std::sort(notes.begin(), notes.end(), [&](const PoisonNote& aLeft, const PoisonNote& aRight) {
-      return rank(aLeft) > rank(aRight);
-    });
-    notes.resize(this->settings.maximumNotes);
+    std::sort(verdicts.begin(), verdicts.end(),
+              [&](const PoisonNote& aLeft, const PoisonNote& aRight) {
+                return rank(aLeft) > rank(aRight);
+              });
+    verdicts.resize(this->settings.maximumVerdicts);
   }
-  return notes;
+  return verdicts;
 }
 
 void
-PoisonGuard::OnNotes(std::span<const PoisonNote> aNotes)
+PoisonGuard::OnNotes(std::span<const PoisonNote> aVerdicts)
 {
   const std::lock_guard lock(this->mutex);
   const TimePoint now = this->clock.Now();
-  for (const PoisonNote& note : aNotes) {
-    if (note.status > PoisonStanding::Cleared) {
+  for (const PoisonNote& verdict : aVerdicts) {
+    if (verdict.status > PoisonStanding::Cleared) {
       continue;
     }
-    const Milliseconds longest = note.status == PoisonStanding::Cleared
+    const Milliseconds longest = verdict.status == PoisonStanding::Cleared
                                    ? this->settings.completionRetention
                                    : this->settings.poisonMemory;
-    const auto remaining = std::min(Milliseconds(note.expiresIn), longest);
-    // A successful completion observed by this daemon overrides the note
-    const auto completion = this->completions.find(note.request);
-    const bool isDisproved = note.status != PoisonStanding::Cleared &&
+    const auto remaining = std::min(Milliseconds(verdict.expiresIn), longest);
+    // A successful completion observed by this daemon overrides the verdict
+    const auto completion = this->completions.find(verdict.request);
+    const bool isDisproved = verdict.status != PoisonStanding::Cleared &&
                              completion != this->completions.end() &&
                              now - completion->second <= this->settings.completionRetention;
     if (isDisproved) {
-      this->RaiseStatus(note.request, PoisonStanding::Cleared,
+      this->RaiseStatus(verdict.request, PoisonStanding::Cleared,
                         completion->second + this->settings.completionRetention);
     } else {
-      this->RaiseStatus(note.request, note.status, now + remaining);
+      this->RaiseStatus(verdict.request, verdict.status, now + remaining);
     }
   }
 }
--- a/Lagoonward/Admission/PoisonGuard.h
+++ b/Lagoonward/Admission/PoisonGuard.h
@@ -40,14 +40,14 @@
   /// the second after the first was lost.
   Milliseconds sameEventWindow{ 1000 };
 
-  /// Notes with less time left are not sent: otherwise daemons would send them back and forth without end.
-  Milliseconds minimumNoteLifetime{ 2000 };
+  /// Verdicts with less time left are not sent: otherwise daemons would send them back and forth without end.
+  Milliseconds minimumVerdictLifetime{ 2000 };
 
   std::size_t maximumRequests =
     4096; ///< With crashes; those with the fewest are evicted first, then the oldest.
   std::size_t maximumCompletions =
     4096; ///< Requests that completed successfully; the oldest are evicted first.
-  std::size_t maximumNotes =
+  std::size_t maximumVerdicts =
     64; ///< In one message: poisoned requests first, then those with the most time left.
 };
 
@@ -124,11 +124,11 @@
   /// Handles a request that an endpoint completed successfully.
   void OnWhole(std::uint64_t aRequest);
 
-  /// Returns the notes to send to other daemons.
+  /// Returns the verdicts to send to other daemons.
   [[nodiscard]] std::vector<PoisonNote> Notes();
 
-  /// Applies the notes of another daemon.
-  void OnNotes(std::span<const PoisonNote> aNotes);
+  /// Applies the verdicts of another daemon.
+  void OnNotes(std::span<const PoisonNote> aVerdicts);
 
   /// Number of requests that are poisoned now.
   [[nodiscard]] int Poisoned();
--- a/UnitTests/Admission/DemandSumTests.cpp
+++ b/UnitTests/Admission/DemandSumTests.cpp
@@ -22,7 +22,7 @@
 constexpr PooledLimit kLimit{ 6000, 6000, 500 };
 constexpr Milliseconds kInterval{ 400 };
 
-/// Daemons that share one client's limit, in groups. One sum per group aggregates the reports of its daemons.
+/// Daemons that share one client's limit, in groups. The first daemon of a group aggregates the reports of the others.
 class Fleet
 {
 public:
--- a/UnitTests/Admission/PermitBookTests.cpp
+++ b/UnitTests/Admission/PermitBookTests.cpp
@@ -64,10 +64,10 @@
   VirtualClock clock;
   int primary = 0;
   int backup = 1;
-  int previousPrimary = -1;     ///< Still the primary in the lists of half of the daemons.
-  bool isPrimarySilent = false; ///< The primary does not reply.
-  bool isSettled = true;        ///< Passed to PermitBook::Serve().
-  double highestLoad = 0;       ///< Requests in any window, relative to AllowedInWindow().
+  int previousPrimary = -1;           ///< Still the primary in the lists of half of the daemons.
+  bool isPrimaryUnresponsive = false; ///< The primary does not reply.
+  bool isSettled = true;              ///< Passed to PermitBook::Serve().
+  double highestLoad = 0;             ///< Requests in any window, relative to AllowedInWindow().
 
 private:
   void SendIfPermitted(int aDaemon)
@@ -79,7 +79,7 @@
     const bool isOutdated = this->previousPrimary >= 0 && aDaemon % 2 == 0;
     const int owner = isOutdated ? this->previousPrimary : this->primary;
     PermitReply reply;
-    if (!this->isPrimarySilent || owner != this->primary) {
+    if (!this->isPrimaryUnresponsive || owner != this->primary) {
       // The previous primary considers itself the primary as long as it has the outdated list of daemons
       reply = this->RequestPermit(owner, ReserveRole::Primary);
     }
@@ -166,7 +166,7 @@
 {
   Fleet fleet(40, perSecond);
   fleet.Run(Seconds(5));
-  fleet.isPrimarySilent = true;
+  fleet.isPrimaryUnresponsive = true;
   const TimePoint startedAt = fleet.clock.Now();
   fleet.Run(Seconds(20));
   BOOST_TEST(fleet.highestLoad <= 1);
--- a/UnitTests/Admission/PoisonGuardTests.cpp
+++ b/UnitTests/Admission/PoisonGuardTests.cpp
@@ -29,7 +29,7 @@
   PoisonGuard guard{ {}, clock };
 };
 
-/// Daemons whose notes are sent at an interval and may be lost.
+/// Daemons whose verdicts are sent at an interval and may be lost.
 class Fleet
 {
 public:
@@ -62,7 +62,7 @@
     for (TimePoint now = startedAt; now < startedAt + Seconds(60); now += aRequestInterval) {
       this->clock.Advance(now - this->clock.Now());
       if (now >= nextUpdateAt) {
-        this->SendNotes();
+        this->SendVerdicts();
         nextUpdateAt += this->updateInterval;
       }
       PoisonGuard& guard = *this->guards[this->random() % this->guards.size()];
@@ -78,14 +78,14 @@
   }
 
 private:
-  /// Sends the notes of an owner of the key to all daemons; some are lost.
-  void SendNotes()
+  /// Sends the verdicts of an owner of the key to all daemons; some are lost.
+  void SendVerdicts()
   {
     std::bernoulli_distribution isLost(this->lossProbability);
-    const auto notes = this->guards.front()->Notes();
+    const auto verdicts = this->guards.front()->Notes();
     for (auto& guard : this->guards) {
       if (!isLost(this->random)) {
-        guard->OnNotes(notes);
+        guard->OnNotes(verdicts);
       }
     }
   }
@@ -102,18 +102,18 @@
 BOOST_FIXTURE_TEST_SUITE(PoisonGuardTests, Fixture)
 
 /// A request that crashes each endpoint is received by random daemons. It is poisoned after three crashes; once
-/// connected daemons must have received each other's notes, at most three more sends are allowed.
+/// connected daemons must have received each other's verdicts, at most three more sends are allowed.
 BOOST_DATA_TEST_CASE(AtMostThreeSendsAfterTheUpdateDelay,
                      boost::unit_test::data::make({ 2, 8, 40, 300, 600 }) *
                        boost::unit_test::data::make({ 30, 300, 1900 }) *
                        boost::unit_test::data::make({ 0.0, 0.3 }),
                      daemons, requestInterval, lossProbability)
 {
-  // At most three rounds of notes, a quarter of a second each, up to two seconds under load
+  // At most three rounds of updates, a quarter of a second each, up to two seconds under load
   for (const Milliseconds updateInterval : { Milliseconds(250), Milliseconds(1000) }) {
     Fleet fleet(daemons, updateInterval, lossProbability,
                 static_cast<std::uint64_t>(daemons + requestInterval));
-    // Notes lost in one round are sent again in the next
+    // Verdicts lost in one round are sent again in the next
     const Milliseconds bound = lossProbability > 0 ? 5 * updateInterval : 3 * updateInterval;
     BOOST_TEST(fleet.Run(Milliseconds(requestInterval), std::max(bound, Milliseconds(3000))) <= 3);
   }
@@ -190,7 +190,7 @@
     this->clock.Advance(Seconds(1));
   }
   other.OnWhole(kRequest);
-  // The daemon that observed the completion answers the note with the status Cleared
+  // The daemon that observed the completion answers the verdict with the status Cleared
   other.OnNotes(this->guard.Notes());
   BOOST_TEST(!other.IsPoisoned(kRequest));
   this->guard.OnNotes(other.Notes());
@@ -213,7 +213,7 @@
   BOOST_TEST(this->guard.IsPoisoned(kRequest));
 }
 
-BOOST_AUTO_TEST_CASE(NotesExchangedBetweenDaemonsExpire)
+BOOST_AUTO_TEST_CASE(VerdictsExchangedBetweenDaemonsExpire)
 {
   PoisonGuard other({}, this->clock);
   for (std::uint64_t endpoint = 1; endpoint <= 3; ++endpoint) {
@@ -243,7 +243,7 @@
   BOOST_TEST(this->guard.IsPoisoned(kRequest));
 }
 
-BOOST_AUTO_TEST_CASE(NumberOfNotesIsBounded)
+BOOST_AUTO_TEST_CASE(NumberOfSentVerdictsIsBounded)
 {
   for (std::uint64_t request = 1000; request < 1500; ++request) {
     for (std::uint64_t endpoint = 1; endpoint <= 3; ++endpoint) {
@@ -251,13 +251,13 @@
     }
   }
   BOOST_TEST(this->guard.Poisoned() == 500);
-  BOOST_TEST(this->guard.Notes().size() == PoisonSettings{}.maximumNotes);
+  BOOST_TEST(this->guard.Notes().size() == PoisonSettings{}.maximumVerdicts);
 }
 
-BOOST_AUTO_TEST_CASE(ImplausibleNotesAndReportsAreIgnored)
+BOOST_AUTO_TEST_CASE(ImplausibleVerdictsAndReportsAreIgnored)
 {
-  const std::vector<PoisonNote> notes{ { kRequest, static_cast<PoisonStanding>(9), 5000 } };
-  this->guard.OnNotes(notes);
+  const std::vector<PoisonNote> verdicts{ { kRequest, static_cast<PoisonStanding>(9), 5000 } };
+  this->guard.OnNotes(verdicts);
   BOOST_TEST(!this->guard.IsSuspect(kRequest));
   // Age beyond any retention
   for (std::uint64_t endpoint = 1; endpoint <= 3; ++endpoint) {
