--- a/Lagoonward/Daemon/ConfigurationShare.cpp
+++ b/Lagoonward/Daemon/ConfigurationShare.cpp
@@ -6,28 +6,28 @@
 
 namespace {
 
-/// Topics of shared states that carry a market's configuration.
+/// Prefix of the names of shared states that carry a market's configuration.
 constexpr std::string_view kConfigurationTopic = "config/";
 
-/// Stands as the writer of a checkpoint that was never in the log; readers refuse an empty one.
+/// Publisher of a checkpoint record that was never in the log; decoding rejects a record with an empty publisher.
 constexpr std::string_view kPeerWriter = "peer";
 
 } // namespace
 
 bool
-IsConfigurationShare(const SharedState& aState)
+IsConfigurationState(const SharedState& aState)
 {
   return aState.name.starts_with(kConfigurationTopic);
 }
 
 std::string
-MarketOfShare(const SharedState& aState)
+MarketOfState(const SharedState& aState)
 {
   return aState.name.substr(kConfigurationTopic.size());
 }
 
 SharedState
-WriteConfigurationShare(const Configuration& aConfiguration, Offset aThrough)
+EncodeConfigurationState(const Configuration& aConfiguration, Offset aThrough)
 {
   ConfigurationRecord record;
   record.kind = ConfigurationRecord::Kind::Checkpoint;
@@ -40,10 +40,10 @@
 }
 
 std::optional<ConfigurationOffer>
-ReadConfigurationShare(const SharedState& aState)
+DecodeConfigurationState(const SharedState& aState)
 {
   JsonFaults faults;
-  const std::string market = MarketOfShare(aState);
+  const std::string market = MarketOfState(aState);
   auto record = ReadConfigurationRecord(aState.bytes, market, faults);
   if (!record || record->kind != ConfigurationRecord::Kind::Checkpoint || !record->manifest ||
       record->of != aState.version) {
--- a/Lagoonward/Daemon/ConfigurationShare.h
+++ b/Lagoonward/Daemon/ConfigurationShare.h
@@ -9,19 +9,20 @@
 
 /// Whether a shared state carries a market's configuration.
 [[nodiscard]] bool
-IsConfigurationShare(const SharedState& aState);
+IsConfigurationState(const SharedState& aState);
 
-/// The market that such a state is about.
+/// Name of the market whose configuration the state carries.
 [[nodiscard]] std::string
-MarketOfShare(const SharedState& aState);
+MarketOfState(const SharedState& aState);
 
-/// What a peer is told of a market: the checkpoint record, as it would stand in the log.
+/// Encodes a market's configuration for peers, as the checkpoint record that the log would contain.
+/// @param aThrough  offset up to which the log was read
 [[nodiscard]] SharedState
-WriteConfigurationShare(const Configuration& aConfiguration, Offset aThrough);
+EncodeConfigurationState(const Configuration& aConfiguration, Offset aThrough);
 
-/// Inverse of WriteConfigurationShare().
-/// @return nothing when the state is malformed
+/// Inverse of EncodeConfigurationState().
+/// @return nothing if the state is malformed
 [[nodiscard]] std::optional<ConfigurationOffer>
-ReadConfigurationShare(const SharedState& aState);
+DecodeConfigurationState(const SharedState& aState);
 
 } // namespace lagoonward
--- a/Lagoonward/Daemon/ControlPlane.cpp
+++ b/Lagoonward/Daemon/ControlPlane.cpp
@@ -10,8 +10,8 @@
 
 const Log kLog("control");
 
-/// How often markets without a configuration are looked at.
-constexpr Milliseconds kMarketCheck{ 500 };
+/// Interval between two checks for markets that have no configuration.
+constexpr Milliseconds kEmptyMarketCheckInterval{ 500 };
 
 } // namespace
 
@@ -26,7 +26,7 @@
   , onFleet(std::move(aOnFleet))
 {
   this->membership.OnEndpoints([this] { this->PublishFleet(); });
-  this->membership.OnState([this](const SharedState& aState) { return this->TakeState(aState); });
+  this->membership.OnState([this](const SharedState& aState) { return this->ApplyState(aState); });
   this->membership.OnPeers([this](const PeerViewPtr& aView) {
     for (const MarketPtr& market : this->markets.InForce()) {
       market->SetLiveDaemons(static_cast<int>(aView->peers.size()) + 1);
@@ -44,8 +44,9 @@
 ControlPlane::Start()
 {
   this->poller.Start();
-  this->membership.Loop().Run(
-    [this] { this->membership.Loop().Every(kMarketCheck, [this] { this->MarkEmptyMarkets(); }); });
+  this->membership.Loop().Run([this] {
+    this->membership.Loop().Every(kEmptyMarketCheckInterval, [this] { this->MarkEmptyMarkets(); });
+  });
   return boost::outcome_v2::success();
 }
 
@@ -81,7 +82,7 @@
 {
   this->membership.Loop().Post([this, aNotices] {
     for (const ReclaimNotice& notice : aNotices) {
-      this->TakeNotice(notice);
+      this->ApplyNotice(notice);
     }
   });
 }
@@ -89,10 +90,10 @@
 void
 ControlPlane::OnConfiguration(const ConfigurationPtr& aConfiguration)
 {
-  // Peers get it at once, so that it is in force everywhere even while they cannot read the log
+  // Published to peers at once, so that it comes into force on daemons that cannot read the log
   const Offset through =
     std::max(this->follower->Offer(aConfiguration->market).through, aConfiguration->offset + 1);
-  this->membership.PublishState(WriteConfigurationShare(*aConfiguration, through));
+  this->membership.PublishState(EncodeConfigurationState(*aConfiguration, through));
   this->membership.Loop().Post([this, aConfiguration] {
     const MarketPtr market = this->markets.FindOrAdd(aConfiguration->market);
     market->ApplyConfiguration(aConfiguration);
@@ -107,22 +108,22 @@
 {
   const auto followed = this->follower->Follow(aMarket);
   if (!followed) {
-    kLog.Warning("Market {} is not followed: {}", aMarket, followed.error().message);
+    kLog.Warning("Cannot follow market {}: {}", aMarket, followed.error().message);
     return;
   }
   this->markets.FindOrAdd(aMarket);
 }
 
 bool
-ControlPlane::TakeState(const SharedState& aState)
+ControlPlane::ApplyState(const SharedState& aState)
 {
-  if (!IsConfigurationShare(aState)) {
+  if (!IsConfigurationState(aState)) {
     return false;
   }
-  const std::string market = MarketOfShare(aState);
-  auto offer = ReadConfigurationShare(aState);
+  const std::string market = MarketOfState(aState);
+  auto offer = DecodeConfigurationState(aState);
   if (!offer) {
-    kLog.Warning("A peer sent a malformed configuration of market {}.", market);
+    kLog.Warning("Malformed configuration of market {} from a peer; ignored.", market);
     return false;
   }
   this->FollowMarket(market);
@@ -131,20 +132,21 @@
 }
 
 void
-ControlPlane::TakeNotice(const ReclaimNotice& aNotice)
+ControlPlane::ApplyNotice(const ReclaimNotice& aNotice)
 {
-  const auto left = aNotice.at + aNotice.grace - this->clock.WallNow();
-  const auto grace = std::max(std::chrono::duration_cast<Milliseconds>(left), Milliseconds(0));
-  std::vector<std::string> leaving;
+  const auto timeLeft = aNotice.at + aNotice.grace - this->clock.WallNow();
+  const auto grace = std::max(std::chrono::duration_cast<Milliseconds>(timeLeft), Milliseconds(0));
+  std::vector<std::string> affected;
   for (const auto& [key, fact] : this->membership.Loads().Facts()) {
-    const bool isMeant = aNotice.host.empty() ? fact.host.failureDomain == aNotice.failureDomain
-                                              : fact.host.id == aNotice.host;
-    if (isMeant && fact.state != EndpointState::Leaving) {
-      leaving.push_back(fact.host.id);
+    const bool isAffected = aNotice.host.empty() ? fact.host.failureDomain == aNotice.failureDomain
+                                                 : fact.host.id == aNotice.host;
+    if (isAffected && fact.state != EndpointState::Leaving) {
+      affected.push_back(fact.host.id);
     }
   }
-  for (const std::string& id : leaving) {
-    kLog.Info("Endpoint {} is reclaimed in {} ms.", id, grace.count());
+  for (const std::string& id : affected) {
+    kLog.Info("Reclaim notice: endpoint {} terminates in {} ms; marked as leaving.", id,
+              grace.count());
     this->membership.ReportEndpoint(id, EndpointState::Leaving, grace);
   }
 }
@@ -168,7 +170,7 @@
   for (const auto& [key, fact] : this->membership.Loads().Facts()) {
     snapshot->endpoints.push_back(this->ToEndpoint(fact));
   }
-  // The same order on all daemons, whatever the hash map's
+  // Sorted, as the hash map's order differs between daemons
   std::sort(snapshot->endpoints.begin(), snapshot->endpoints.end(),
             [](const Endpoint& aLeft, const Endpoint& aRight) { return aLeft.id < aRight.id; });
   this->fleet.Publish(snapshot);
@@ -201,7 +203,8 @@
 void
 ControlPlane::SetPrice(Endpoint& aEndpoint) const
 {
-  // The host list does not say how a host was bought; the cheaper offer is the reclaimable one
+  // The host list does not contain a host's purchase type, so the cheapest offer is assumed; that is the reclaimable
+  // one
   for (const Price& price : this->prices) {
     const bool fits = price.machineClass == aEndpoint.machineClass &&
                       price.failureDomain == aEndpoint.failureDomain;
--- a/Lagoonward/Daemon/ControlPlane.h
+++ b/Lagoonward/Daemon/ControlPlane.h
@@ -13,16 +13,16 @@
 
 namespace lagoonward {
 
-/// Keeps the daemon's picture of the fleet and of the configuration on the control thread: takes in
-/// what the platform, the log and the other daemons say, and publishes immutable snapshots to the
-/// traffic threads. The thread is the one of the MembershipService.
+/// Maintains the daemon's state of the fleet and of the configuration on the control thread: applies updates from the
+/// platform, the log and the other daemons, and publishes immutable snapshots to the traffic threads. The control
+/// thread is that of the MembershipService.
 class ControlPlane final : public Service
 {
 public:
   static constexpr std::string_view kName = "control";
 
-  /// Registers with the membership, so it must be made before that starts.
-  /// @param aOnFleet  told on the control thread of each new snapshot
+  /// Registers its handlers with the membership, so it must be constructed before that starts.
+  /// @param aOnFleet  called on the control thread with each new snapshot
   ControlPlane(const Clock& aClock, MembershipService& aMembership, LoadPoller& aPoller,
                MarketDirectory& aMarkets, FleetStore& aFleet,
                std::function<void(const FleetSnapshotPtr& aSnapshot)> aOnFleet);
@@ -31,22 +31,22 @@
   [[nodiscard]] Result<void> Start() override;
   void Stop() override;
 
-  /// The follower that is told of what peers bring. Set once, before Start().
+  /// Sets the follower that adopts configurations from peers. To be called once, before Start().
   void SetFollower(ConfigurationFollower& aFollower);
 
-  // News, from any thread
+  // Updates, from any thread
 
   void OnHosts(std::vector<HostEntry> aHosts);
   void OnPrices(std::vector<Price> aPrices);
   void OnNotices(const std::vector<ReclaimNotice>& aNotices);
   void OnConfiguration(const ConfigurationPtr& aConfiguration);
 
-  /// Begins to follow a market that a caller or a peer has named.
+  /// Starts to follow a market that a caller or a peer has named. Any thread.
   void FollowMarket(const std::string& aMarket);
 
 private:
-  [[nodiscard]] bool TakeState(const SharedState& aState);
-  void TakeNotice(const ReclaimNotice& aNotice);
+  [[nodiscard]] bool ApplyState(const SharedState& aState);
+  void ApplyNotice(const ReclaimNotice& aNotice);
   void MarkEmptyMarkets();
   void PublishFleet();
   [[nodiscard]] Endpoint ToEndpoint(const EndpointFact& aFact) const;
--- a/Lagoonward/Daemon/Daemon.cpp
+++ b/Lagoonward/Daemon/Daemon.cpp
@@ -13,7 +13,7 @@
 
 const Log kLog("daemon");
 
-/// How many daemons come before one under rendezvous hashing of a key.
+/// Rank of a daemon for a key under rendezvous hashing: the number of daemons with a greater weight.
 int
 RankAmong(const std::vector<std::string>& aDaemons, std::string_view aOwn, std::string_view aKey)
 {
@@ -27,10 +27,11 @@
 
 } // namespace
 
-Daemon::Daemon(DaemonSettings aSettings, const Clock& aClock, std::function<void()> aOnDrainAsked)
+Daemon::Daemon(DaemonSettings aSettings, const Clock& aClock,
+               std::function<void()> aOnDrainRequested)
   : settings(std::move(aSettings))
   , clock(aClock)
-  , onDrainAsked(std::move(aOnDrainAsked))
+  , onDrainRequested(std::move(aOnDrainRequested))
   , seed(HashBytes(this->settings.hostId))
   , incarnation(fmt::format("{}@{}", this->settings.hostId, ToUnixMilliseconds(aClock.WallNow())))
   , markets(this->settings.market, aClock, this->seed)
@@ -57,13 +58,13 @@
   if (!started) {
     return started;
   }
-  this->membership->Loop().Run([this] { this->demand->Start(); });
+  this->membership->Loop().Run([this] { this->demandExchange->Start(); });
   for (const std::string& market : this->settings.markets) {
     this->control->FollowMarket(market);
   }
-  kLog.Info("Serves callers at {}:{}, operators at {}:{}.", this->settings.listen.address,
-            this->kernel.Find<CallerApi>(CallerApi::kName)->Port(), this->settings.admin.address,
-            this->admin->Port());
+  kLog.Info("Started: listening for callers at {}:{}, for operators at {}:{}.",
+            this->settings.listen.address, this->kernel.Find<CallerApi>(CallerApi::kName)->Port(),
+            this->settings.admin.address, this->admin->Port());
   return boost::outcome_v2::success();
 }
 
@@ -73,12 +74,12 @@
   if (this->draining.exchange(true)) {
     return;
   }
-  kLog.Info("Drains: unready from now on, {} requests in progress.", this->runs->ActiveRuns());
-  this->keepers->Drain();
+  kLog.Info("Draining: unready from now on, {} requests in progress.", this->runs->ActiveRuns());
+  this->keyOwners->Drain();
   this->membership->Drain();
   this->fleetManager->Resign();
   this->kernel.DrainAll();
-  kLog.Info("Has drained.");
+  kLog.Info("Drain completed.");
 }
 
 void
@@ -91,7 +92,8 @@
 Daemon::Build()
 {
   if (sodium_init() < 0) {
-    return Error(ErrorKind::Internal, "libsodium cannot be initialized.");
+    return Error(ErrorKind::Internal,
+                 "libsodium could not be initialized; the daemon does not start.");
   }
   auto keys = ParsePeerKeys(this->settings.peerKeys, this->settings.cluster);
   if (!keys) {
@@ -115,7 +117,7 @@
   identity.self.region = this->settings.region;
   identity.session = static_cast<std::uint64_t>(ToUnixMilliseconds(this->clock.WallNow()));
   const auto poll = [this](const HostEntry& aEndpoint, MembershipService::PollDone aDone) {
-    // Plain services report no load; the host list and their answers say what there is to know
+    // Plain services report no load; all that is known of them comes from the host list and from their responses
     if (aEndpoint.kind != HostEntry::Kind::Engine) {
       EndpointLoad load;
       load.asOf = this->clock.WallNow();
@@ -124,7 +126,7 @@
     }
     this->poller.Poll(aEndpoint, std::move(aDone));
   };
-  this->keepers = std::make_unique<KeeperDirectory>(identity.self, this->clock);
+  this->keyOwners = std::make_unique<KeeperDirectory>(identity.self, this->clock);
   this->membership = &this->kernel.Add(std::make_unique<MembershipService>(
     this->clock, std::move(identity), std::move(aKeys), MembershipSettings{}, poll));
   this->control = &this->kernel.Add(std::make_unique<ControlPlane>(
@@ -158,7 +160,7 @@
   this->BuildFleetManager();
   this->platform = &this->kernel.Add(std::make_unique<PlatformWatcher>(
     PlatformWatcherSettings{}, this->clock, this->settings.hostListUrl, this->settings.cloudUrl,
-    this->MakePlatformNews()));
+    this->MakePlatformFeed()));
 }
 
 void
@@ -197,18 +199,19 @@
   this->runs =
     &this->kernel.Add(std::make_unique<RunService>(this->settings.runs, this->clock, this->fleet));
   this->runs->SetClaims(claims);
-  this->directory = std::make_unique<PeerRequestDirectory>(
+  this->requestDirectory = std::make_unique<PeerRequestDirectory>(
     PeerRequestDirectorySettings{}, *this->membership, this->fleet, this->settings.hostId);
-  this->directory->Serve(*this->runs);
-  this->runs->SetDirectory(*this->directory);
-  this->demand = std::make_unique<DemandExchange>(DemandExchangeSettings{}, *this->membership,
-                                                  this->markets, this->runs->Poison(),
-                                                  this->settings.hostId, this->settings.region);
-  this->crashes = std::make_unique<CrashExchange>(
-    CrashExchangeSettings{}, *this->keepers, *this->membership, this->runs->Poison(), this->clock);
+  this->requestDirectory->Serve(*this->runs);
+  this->runs->SetDirectory(*this->requestDirectory);
+  this->demandExchange = std::make_unique<DemandExchange>(
+    DemandExchangeSettings{}, *this->membership, this->markets, this->runs->Poison(),
+    this->settings.hostId, this->settings.region);
+  this->crashExchange =
+    std::make_unique<CrashExchange>(CrashExchangeSettings{}, *this->keyOwners, *this->membership,
+                                    this->runs->Poison(), this->clock);
   this->membership->OnPeers([this](const PeerViewPtr& aView) {
-    this->keepers->OnPeers(*aView);
-    this->crashes->OnKeepers();
+    this->keyOwners->OnPeers(*aView);
+    this->crashExchange->OnKeepers();
   });
 }
 
@@ -221,8 +224,8 @@
   const StatusSources sources{ this->settings, this->clock, *this->follower,    *this->membership,
                                this->fleet,    *this->runs, *this->fleetManager };
   this->admin = &this->kernel.Add(std::make_unique<AdminApi>(
-    adminServer, *this->runs, [this] { return this->FindUnreadiness(); },
-    [this, sources] { return MakeStatusPage(sources, this->draining); }, this->onDrainAsked));
+    adminServer, *this->runs, [this] { return this->FindUnreadyReason(); },
+    [this, sources] { return MakeStatusPage(sources, this->draining); }, this->onDrainRequested));
   this->admin->AddMetrics(std::make_shared<RunMetrics>(*this->runs));
 
   HttpServerSettings callerServer;
@@ -261,48 +264,50 @@
 }
 
 std::optional<Error>
-Daemon::FindUnreadiness() const
+Daemon::FindUnreadyReason() const
 {
   if (this->draining) {
-    return Error(ErrorKind::Draining, "The daemon is leaving.");
+    return Error(ErrorKind::Draining, "The daemon is draining.");
   }
   if (!this->platform->HasHosts()) {
     return Error(ErrorKind::PlatformUnavailable, "The host list has not been read yet.");
   }
-  // Peers may have told what is in force while the log is away
+  // While the log is unreachable, peers may have sent the configurations in force
   if (!this->index->HasRead() && this->markets.InForce().empty()) {
-    return Error(ErrorKind::NoConfiguration, "The index of markets has not been read yet.");
+    return Error(
+      ErrorKind::NoConfiguration,
+      "The index of markets has not been read yet, and no peer has sent a configuration.");
   }
   for (const MarketStatus& market : this->follower->Status()) {
     const bool isEmpty = market.logReachable && market.certain;
     if (market.offset == kNoOffset && !isEmpty) {
       return Error(ErrorKind::NoConfiguration,
-                   "What is in force in market " + market.market + " is not known yet.");
+                   "The configuration of market " + market.market + " has not been received yet.");
     }
   }
   return std::nullopt;
 }
 
 PlatformNews
-Daemon::MakePlatformNews()
+Daemon::MakePlatformFeed()
 {
-  PlatformNews news;
-  news.onHosts = [this](std::vector<HostEntry> aHosts) {
-    // This daemon's own entry may have another id when --host-id was not given
+  PlatformNews feed;
+  feed.onHosts = [this](std::vector<HostEntry> aHosts) {
+    // This daemon's own entry may have another id if --host-id was not given
     std::erase_if(aHosts, [this](const HostEntry& aHost) {
       return aHost.kind == HostEntry::Kind::Daemon && aHost.id != this->settings.hostId &&
              aHost.address == this->settings.peer.address && aHost.port == this->settings.peer.port;
     });
     this->control->OnHosts(std::move(aHosts));
   };
-  news.onPrices = [this](std::vector<Price> aPrices) {
+  feed.onPrices = [this](std::vector<Price> aPrices) {
     this->control->OnPrices(std::move(aPrices));
   };
-  news.onNotices = [this](const std::vector<ReclaimNotice>& aNotices) {
+  feed.onNotices = [this](const std::vector<ReclaimNotice>& aNotices) {
     this->control->OnNotices(aNotices);
   };
-  news.readsHostList = [this] { return this->membership->ReadsHostList(); };
-  return news;
+  feed.readsHostList = [this] { return this->membership->ReadsHostList(); };
+  return feed;
 }
 
 } // namespace lagoonward
--- a/Lagoonward/Daemon/Daemon.h
+++ b/Lagoonward/Daemon/Daemon.h
@@ -21,22 +21,21 @@
 
 namespace lagoonward {
 
-/// One daemon: builds the services from the settings, registers them with the kernel in the order in
-/// which they depend on each other, and takes them through start, drain and stop.
+/// One daemon: creates the services from the settings, registers them with the kernel in the order of their
+/// dependencies, and starts, drains and stops them.
 class Daemon
 {
 public:
-  /// @param aOnDrainAsked  told when an operator asks for a drain over HTTP; any thread
-  Daemon(DaemonSettings aSettings, const Clock& aClock, std::function<void()> aOnDrainAsked);
+  /// @param aOnDrainRequested  called when an operator requests a drain over HTTP; any thread
+  Daemon(DaemonSettings aSettings, const Clock& aClock, std::function<void()> aOnDrainRequested);
   ~Daemon();
   Daemon(const Daemon&) = delete;
   Daemon& operator=(const Daemon&) = delete;
 
-  /// Starts all services. Errors: InvalidSettings, when an address cannot be bound or a key ring is
-  /// malformed.
+  /// Starts all services. Errors: InvalidSettings if an address cannot be bound or a key ring is malformed.
   [[nodiscard]] Result<void> Start();
 
-  /// Turns unready, tells the other daemons, finishes every request.
+  /// Reports unready, notifies the other daemons, and finishes all requests.
   void Drain();
 
   void Stop();
@@ -51,32 +50,32 @@
   void BuildFleetManager();
   void BuildRuns();
   void BuildInterfaces();
-  /// What is in force in each followed market. Any thread.
+  /// The configurations in force, one for each followed market that has one. Any thread.
   [[nodiscard]] std::vector<ConfigurationPtr> ConfigurationsInForce() const;
   /// Ids of the live daemons, this one included, of all regions or of one. Any thread.
   [[nodiscard]] std::vector<std::string> LiveDaemons(std::string_view aRegion = {}) const;
-  [[nodiscard]] PlatformNews MakePlatformNews();
-  /// Why the daemon should get no requests, or nothing when it should.
-  [[nodiscard]] std::optional<Error> FindUnreadiness() const;
+  [[nodiscard]] PlatformNews MakePlatformFeed();
+  /// Why the daemon should receive no requests, or nothing if it should.
+  [[nodiscard]] std::optional<Error> FindUnreadyReason() const;
 
   DaemonSettings settings;
   const Clock& clock;
-  std::function<void()> onDrainAsked;
+  std::function<void()> onDrainRequested;
   std::atomic<bool> draining{ false };
-  std::uint64_t seed;      ///< Of the sampling; differs between daemons.
-  std::string incarnation; ///< Of this run of this daemon; never reused.
+  std::uint64_t seed;      ///< Of the random sampling; differs between daemons.
+  std::string incarnation; ///< Identifies this run of this daemon; never reused.
 
   FleetStore fleet;
   MarketDirectory markets;
   LoadPoller poller;
-  HttpLogService log;      ///< The follower's own; it is interrupted when that stops.
-  HttpLogService claimLog; ///< The claims' own.
-  HttpLogService indexLog; ///< The market index reader's own.
+  HttpLogService log;      ///< For the follower only, which interrupts it when it stops.
+  HttpLogService claimLog; ///< For the claims only.
+  HttpLogService indexLog; ///< For the market index reader only.
   std::unique_ptr<PeerClaimForwarder> claimForwarder;
-  std::unique_ptr<PeerRequestDirectory> directory;
-  std::unique_ptr<DemandExchange> demand;
-  std::unique_ptr<KeeperDirectory> keepers;
-  std::unique_ptr<CrashExchange> crashes;
+  std::unique_ptr<PeerRequestDirectory> requestDirectory;
+  std::unique_ptr<DemandExchange> demandExchange;
+  std::unique_ptr<KeeperDirectory> keyOwners;
+  std::unique_ptr<CrashExchange> crashExchange;
   Kernel kernel;
 
   // Owned by the kernel
--- a/Lagoonward/Daemon/EndpointChanges.cpp
+++ b/Lagoonward/Daemon/EndpointChanges.cpp
@@ -4,38 +4,38 @@
 
 namespace lagoonward {
 
-EndpointChanges::EndpointChanges(Milliseconds aKept)
-  : kept(aKept)
+EndpointChanges::EndpointChanges(Milliseconds aRetention)
+  : retention(aRetention)
 {
 }
 
 void
-EndpointChanges::Begin(std::int64_t aFrom)
+EndpointChanges::StartAt(std::int64_t aFirstVersion)
 {
-  this->hasBegun = true;
-  this->from = aFrom;
+  this->isStarted = true;
+  this->firstVersion = aFirstVersion;
   this->changes.clear();
 }
 
 void
 EndpointChanges::Add(const EndpointRecord& aRecord, bool aIsInferred, TimePoint aNow)
 {
-  if (this->hasBegun) {
+  if (this->isStarted) {
     this->changes.push_back({ aNow, aIsInferred, aRecord });
   }
 }
 
 void
-EndpointChanges::Forget(TimePoint aNow)
+EndpointChanges::DropExpired(TimePoint aNow)
 {
-  while (!this->changes.empty() && this->changes.front().at + this->kept < aNow) {
-    this->from = std::max(this->from, this->changes.front().record.version + 1);
+  while (!this->changes.empty() && this->changes.front().addedAt + this->retention < aNow) {
+    this->firstVersion = std::max(this->firstVersion, this->changes.front().record.version + 1);
     this->changes.pop_front();
   }
 }
 
 std::vector<EndpointRecord>
-EndpointChanges::Since(std::int64_t aVersion) const
+EndpointChanges::ChangesFrom(std::int64_t aVersion) const
 {
   std::vector<EndpointRecord> found;
   for (const Change& change : this->changes) {
--- a/Lagoonward/Daemon/EndpointChanges.h
+++ b/Lagoonward/Daemon/EndpointChanges.h
@@ -9,12 +9,12 @@
 
 namespace lagoonward {
 
-/// An endpoint's own record, as its source keeps it.
+/// An endpoint's own record, as its source stores it.
 struct EndpointRecord
 {
   std::string id;
-  std::string text;         ///< Empty where it was removed.
-  std::int64_t version = 0; ///< Grows with each record of the source.
+  std::string text;         ///< Empty for a removed record.
+  std::int64_t version = 0; ///< Increases with each record of the source.
   bool removed = false;
 
   template<class Archive>
@@ -24,40 +24,42 @@
   }
 };
 
-/// The records that changed a picture of the endpoints of late, for those who do not have them yet. Not thread-safe.
+/// Log of the records that recently changed a snapshot of the endpoints, for daemons that do not have them yet. Not
+/// thread-safe.
 class EndpointChanges
 {
 public:
-  /// @param aKept  how long a change is kept
-  explicit EndpointChanges(Milliseconds aKept);
+  /// @param aRetention  how long a change is kept
+  explicit EndpointChanges(Milliseconds aRetention);
 
-  /// From now on all changes of this version and above are added; none is kept before.
-  void Begin(std::int64_t aFrom);
+  /// Empties the log and starts it: from now on all changes of this version and above are added.
+  void StartAt(std::int64_t aFirstVersion);
 
-  /// A record has changed the picture. Without effect before Begin().
-  /// @param aIsInferred  whether the source holds no such record: it was found missing among all
+  /// A record has changed the snapshot. No effect before StartAt().
+  /// @param aIsInferred  whether the source has no such record, because the endpoint was missing in a full read
   void Add(const EndpointRecord& aRecord, bool aIsInferred, TimePoint aNow);
 
-  /// Drops what was kept long enough.
-  void Forget(TimePoint aNow);
+  /// Drops changes whose retention has ended.
+  void DropExpired(TimePoint aNow);
 
-  /// Lowest version from which on nothing is missing here.
-  [[nodiscard]] std::int64_t From() const { return this->from; }
+  /// Lowest version from which on the log has no gap.
+  [[nodiscard]] std::int64_t FirstVersion() const { return this->firstVersion; }
 
-  /// The changes of this version and above. Inferred ones are always among them, as their version says little.
-  [[nodiscard]] std::vector<EndpointRecord> Since(std::int64_t aVersion) const;
+  /// The changes of this version and above. Inferred ones are always among them, as their version is not one that the
+  /// source gave to a record.
+  [[nodiscard]] std::vector<EndpointRecord> ChangesFrom(std::int64_t aVersion) const;
 
 private:
   struct Change
   {
-    TimePoint at;
+    TimePoint addedAt;
     bool isInferred = false;
     EndpointRecord record;
   };
 
-  Milliseconds kept;
-  bool hasBegun = false;
-  std::int64_t from = 0;
+  Milliseconds retention;
+  bool isStarted = false;
+  std::int64_t firstVersion = 0;
   std::deque<Change> changes; ///< In the order of adding.
 };
 
--- a/Lagoonward/Daemon/EndpointNews.cpp
+++ b/Lagoonward/Daemon/EndpointNews.cpp
@@ -15,15 +15,17 @@
 
 const Log kLog("endpoints");
 
-/// The message, a NewsMessage that is answered by a NewsAnswer; numbers above RequestType::FirstForeign are this folder's.
-constexpr auto kEndpointNews =
+/// Request type of an EndpointUpdateMessage, which is answered by an EndpointUpdateReply. Numbers above
+/// RequestType::FirstForeign belong to this folder.
+constexpr auto kEndpointUpdate =
   static_cast<RequestType>(static_cast<std::uint16_t>(RequestType::FirstForeign) + 4);
 
-/// Daemons that read for all: the first, and the next in line while the first is silent.
-constexpr int kReadersForAll = 2;
+/// Ranks that read the source for all daemons: the primary reader, and the standby reader while the primary sends
+/// nothing.
+constexpr int kReaderRanks = 2;
 
-/// A picture as old as this says nothing, and no longer answering of the source matters.
-constexpr Milliseconds kOldest = Seconds(3600);
+/// Longest age of a snapshot that is sent or accepted, and longest answered span that is accepted from a message.
+constexpr Milliseconds kMaximumPlausibleAge = Seconds(3600);
 
 } // namespace
 
@@ -35,12 +37,12 @@
   , hooks(std::move(aHooks))
   , clock(aClock)
   , directory({}, aClock)
-  , changes(aSettings.repeat)
+  , changeLog(aSettings.changeRetention)
 {
   this->membership.Transport().OnRequest(
-    kEndpointNews,
+    kEndpointUpdate,
     [this](PeerKey aSender, std::string_view aBytes, const PeerTransport::Respond& aRespond) {
-      aRespond(this->TakeMessage(aSender, aBytes));
+      aRespond(this->HandleUpdate(aSender, aBytes));
     });
 }
 
@@ -48,29 +50,30 @@
 EndpointNews::Start()
 {
   this->UpdatePlan();
-  this->membership.Loop().Every(this->settings.tick, [this] { this->Tick(); });
+  this->membership.Loop().Every(this->settings.tickInterval, [this] { this->Tick(); });
 }
 
 bool
-EndpointNews::Take(const EndpointRecord& aRecord, bool aFromPeer)
+EndpointNews::HandleRecord(const EndpointRecord& aRecord, bool aFromPeer)
 {
-  // The same record may come from the source and from several daemons, in any order
+  // The same record may arrive from the source and from several daemons, in any order
   const auto [known, isNew] = this->versions.try_emplace(aRecord.id, aRecord.version);
   if (!isNew && aRecord.version <= known->second) {
     return false;
   }
   known->second = aRecord.version;
-  const bool isChange = this->Apply(aRecord, aFromPeer);
-  // Each reader passes on what the other has read first, as one of them may not reach all. Whether a removal counts
-  // at once depends on who saw an outage, so each daemon decides on its own
+  const bool isChange = this->ApplyToDirectory(aRecord, aFromPeer);
+  // Each aggregator forwards records that another has read first, as one of them may not reach all daemons. Whether a
+  // removal takes effect at once depends on which daemons saw an outage of the source, so each daemon decides for
+  // itself
   if (isChange || aRecord.removed) {
-    this->changes.Add(aRecord, false, this->clock.BootNow());
+    this->changeLog.Add(aRecord, false, this->clock.BootNow());
   }
   return isChange;
 }
 
 bool
-EndpointNews::Apply(const EndpointRecord& aRecord, bool aFromPeer)
+EndpointNews::ApplyToDirectory(const EndpointRecord& aRecord, bool aFromPeer)
 {
   if (aRecord.removed) {
     const bool isChange = this->directory.OnRemoved(aRecord.id);
@@ -82,7 +85,7 @@
   }
   auto endpoint = this->hooks.decode(aRecord);
   if (!endpoint) {
-    return this->Refuse(aRecord, endpoint.error().message);
+    return this->RefuseRecord(aRecord, endpoint.error().message);
   }
   const bool isLeaving = endpoint.value().state == EndpointState::Leaving;
   const std::string service = endpoint.value().name;
@@ -102,10 +105,10 @@
 }
 
 bool
-EndpointNews::Refuse(const EndpointRecord& aRecord, const std::string& aReason)
+EndpointNews::RefuseRecord(const EndpointRecord& aRecord, const std::string& aReason)
 {
-  ++this->refused;
-  std::string& last = this->refusals[aRecord.id];
+  ++this->refusedRecords;
+  std::string& last = this->refusalReasons[aRecord.id];
   if (last != aReason) {
     kLog.Event(LogLevel::Warning, "endpoint_refused",
                { { "endpoint", aRecord.id }, { "reason", aReason } });
@@ -117,176 +120,181 @@
 void
 EndpointNews::OnRecord(const EndpointRecord& aRecord)
 {
-  this->isChanged = this->Take(aRecord, false) || this->isChanged;
+  this->hasUnpublishedChanges = this->HandleRecord(aRecord, false) || this->hasUnpublishedChanges;
 }
 
 void
-EndpointNews::OnWhole(const std::vector<EndpointRecord>& aRecords, std::int64_t aEnd)
+EndpointNews::OnFullRead(const std::vector<EndpointRecord>& aRecords, std::int64_t aEndVersion)
 {
   const FleetSnapshotPtr before = this->directory.Snapshot();
   std::vector<std::string> ids;
   for (const EndpointRecord& record : aRecords) {
     ids.push_back(record.id);
-    this->isChanged = this->Take(record, false) || this->isChanged;
+    this->hasUnpublishedChanges = this->HandleRecord(record, false) || this->hasUnpublishedChanges;
   }
-  // Who has been heard of since is not among them yet
+  // Records of newer versions, received since the read, are not part of it
   for (const auto& [id, version] : this->versions) {
-    if (version >= aEnd) {
+    if (version >= aEndVersion) {
       ids.push_back(id);
     }
   }
   for (const Endpoint& endpoint : before->endpoints) {
-    const bool isThere = std::find(ids.begin(), ids.end(), endpoint.id) != ids.end();
-    if (!isThere && endpoint.state != EndpointState::Leaving) {
-      this->changes.Add({ endpoint.id, {}, aEnd - 1, true }, true, this->clock.BootNow());
+    const bool isListed = std::find(ids.begin(), ids.end(), endpoint.id) != ids.end();
+    if (!isListed && endpoint.state != EndpointState::Leaving) {
+      this->changeLog.Add({ endpoint.id, {}, aEndVersion - 1, true }, true, this->clock.BootNow());
     }
   }
-  this->isChanged = this->directory.OnWhole(ids) || this->isChanged;
-  if (!this->end) {
-    // What was heard before was not kept
-    std::int64_t from = aEnd;
+  this->hasUnpublishedChanges = this->directory.OnWhole(ids) || this->hasUnpublishedChanges;
+  if (!this->endVersion) {
+    // Records received before the first full read were not added to the change log
+    std::int64_t firstVersion = aEndVersion;
     for (const auto& [id, version] : this->versions) {
-      from = std::max(from, version + 1);
+      firstVersion = std::max(firstVersion, version + 1);
     }
-    this->changes.Begin(from);
-    this->end = aEnd;
+    this->changeLog.StartAt(firstVersion);
+    this->endVersion = aEndVersion;
   }
-  kLog.Event("endpoints", { { "count", aRecords.size() }, { "changed", this->isChanged } });
+  kLog.Event("endpoints",
+             { { "count", aRecords.size() }, { "changed", this->hasUnpublishedChanges } });
 }
 
 void
-EndpointNews::OnRead(TimePoint aAsOf, std::int64_t aEnd)
+EndpointNews::OnReadCompleted(TimePoint aAsOf, std::int64_t aEndVersion)
 {
   this->needsRepair = false;
-  if (!this->ownAnsweredSince) {
-    this->ownAnsweredSince = aAsOf;
+  if (!this->ownReadsAnsweredSince) {
+    this->ownReadsAnsweredSince = aAsOf;
   }
-  if (this->end) {
-    this->Extend({ *this->ownAnsweredSince, aAsOf }, aEnd);
+  if (this->endVersion) {
+    this->AdvanceTo({ *this->ownReadsAnsweredSince, aAsOf }, aEndVersion);
   }
-  // All that one read brought is one change: to publish the picture is dear
-  if (std::exchange(this->isChanged, false)) {
-    this->OnChanged();
+  // Publishing a snapshot is expensive, so all records of one read are published as one change
+  if (std::exchange(this->hasUnpublishedChanges, false)) {
+    this->OnSnapshotChanged();
   }
-  if (this->tells) {
-    this->Tell(this->rank < kReadersForAll);
+  if (this->isAggregator) {
+    this->SendUpdates(this->rank < kReaderRanks);
   }
 }
 
 void
-EndpointNews::Extend(const AnsweredSpan& aAnswered, std::int64_t aEnd)
+EndpointNews::AdvanceTo(const AnsweredSpan& aAnswered, std::int64_t aEndVersion)
 {
-  this->end = std::max(this->end.value_or(aEnd), aEnd);
+  this->endVersion = std::max(this->endVersion.value_or(aEndVersion), aEndVersion);
   this->asOf = std::max(this->asOf.load(), aAnswered.until);
-  this->answered.Add(aAnswered, this->settings.lateAfter);
+  this->answeredSpan.Add(aAnswered, this->settings.staleAfter);
   const auto suspended =
     this->clock.BootNow().time_since_epoch() - this->clock.Now().time_since_epoch();
   this->directory.OnSourceSeen(
-    { this->answered.since - suspended, this->answered.until - suspended });
+    { this->answeredSpan.since - suspended, this->answeredSpan.until - suspended });
 }
 
 Milliseconds
 EndpointNews::Age() const
 {
-  const TimePoint known = this->asOf;
-  return known == TimePoint::min() ? Milliseconds::max()
-                                   : std::chrono::ceil<Milliseconds>(this->clock.BootNow() - known);
+  const TimePoint asOfTime = this->asOf;
+  return asOfTime == TimePoint::min()
+           ? Milliseconds::max()
+           : std::chrono::ceil<Milliseconds>(this->clock.BootNow() - asOfTime);
 }
 
 void
-EndpointNews::Tell(bool aToGroups)
+EndpointNews::SendUpdates(bool aToOtherGroups)
 {
-  // Who has not read the whole knows less than it tells of, and its picture has no age yet
-  if (!this->end || this->Age() > kOldest) {
+  // Before its first full read a daemon lacks older records, and its snapshot has no age yet
+  if (!this->endVersion || this->Age() > kMaximumPlausibleAge) {
     return;
   }
-  this->changes.Forget(this->clock.BootNow());
-  // Those who pass it on first
-  if (aToGroups) {
-    this->TellTo(this->plan.others, true);
+  this->changeLog.DropExpired(this->clock.BootNow());
+  // Aggregators of other groups first, as they forward the update
+  if (aToOtherGroups) {
+    this->SendUpdatesTo(this->plan.others, true);
   }
-  this->TellTo(this->plan.members, false);
+  this->SendUpdatesTo(this->plan.members, false);
 }
 
 void
-EndpointNews::TellTo(std::span<const PeerAddress> aReceivers, bool aForGroups)
+EndpointNews::SendUpdatesTo(std::span<const PeerAddress> aReceivers, bool aForwardToGroup)
 {
-  NewsMessage message;
-  message.isForAll = aForGroups;
+  EndpointUpdateMessage message;
+  message.forwardToGroup = aForwardToGroup;
   message.sentAt =
     std::chrono::floor<Milliseconds>(this->clock.BootNow().time_since_epoch()).count();
   message.age = this->Age().count();
-  message.answered =
-    std::chrono::floor<Milliseconds>(this->answered.until - this->answered.since).count();
-  message.end = *this->end;
+  message.answeredFor =
+    std::chrono::floor<Milliseconds>(this->answeredSpan.until - this->answeredSpan.since).count();
+  message.endVersion = *this->endVersion;
   message.digest = this->Digest();
-  message.configuration = this->hooks.configuration();
-  // To repeat all changes of some seconds to everybody takes a small host's link for longer than a message may take, so
-  // each is told what it has not confirmed. Most have confirmed the same
+  message.configurationVersion = this->hooks.configurationVersion();
+  // Sending all changes of the last seconds to every receiver would occupy a small host's link for longer than the
+  // timeout of a message, so each receiver is sent only what it has not acknowledged. Most have acknowledged the same
+  // version, so each distinct message is encoded once
   std::map<std::int64_t, std::string> encoded;
   for (const PeerAddress& receiver : aReceivers) {
-    const auto known = this->confirmed.find(receiver.key);
-    message.from = this->changes.From();
-    if (known != this->confirmed.end()) {
-      message.from = std::max(message.from, known->second);
+    const auto known = this->acknowledgedVersions.find(receiver.key);
+    message.firstVersion = this->changeLog.FirstVersion();
+    if (known != this->acknowledgedVersions.end()) {
+      message.firstVersion = std::max(message.firstVersion, known->second);
     }
-    const auto [bytes, isNew] = encoded.try_emplace(message.from);
+    const auto [bytes, isNew] = encoded.try_emplace(message.firstVersion);
     if (isNew) {
-      message.entries = this->changes.Since(message.from);
+      message.entries = this->changeLog.ChangesFrom(message.firstVersion);
       bytes->second = EncodePeerMessage(message);
     }
-    // One that does not answer reads by itself, and is told the same again
+    // A receiver that does not answer reads the source directly, and is sent the same changes again
     this->membership.Transport().Request(
-      receiver, kEndpointNews, bytes->second, this->settings.timeout,
-      [this, key = receiver.key](const Result<std::string>& aAnswer) {
-        if (aAnswer) {
-          this->OnConfirmed(key, aAnswer.value());
+      receiver, kEndpointUpdate, bytes->second, this->settings.timeout,
+      [this, key = receiver.key](const Result<std::string>& aReply) {
+        if (aReply) {
+          this->OnReply(key, aReply.value());
         }
       });
   }
 }
 
 void
-EndpointNews::OnConfirmed(PeerKey aReceiver, std::string_view aAnswer)
+EndpointNews::OnReply(PeerKey aReceiver, std::string_view aReply)
 {
-  const auto answer = DecodePeerMessage<NewsAnswer>(aAnswer);
-  if (answer && answer->isWhole) {
-    this->confirmed[aReceiver] = answer->end;
+  const auto reply = DecodePeerMessage<EndpointUpdateReply>(aReply);
+  if (reply && reply->hasFullSnapshot) {
+    this->acknowledgedVersions[aReceiver] = reply->endVersion;
   } else {
-    this->confirmed.erase(aReceiver);
+    this->acknowledgedVersions.erase(aReceiver);
   }
 }
 
 std::string
-EndpointNews::TakeMessage(PeerKey aSender, std::string_view aBytes)
+EndpointNews::HandleUpdate(PeerKey aSender, std::string_view aBytes)
 {
-  const auto message = DecodePeerMessage<NewsMessage>(aBytes);
+  const auto message = DecodePeerMessage<EndpointUpdateMessage>(aBytes);
   if (!message) {
-    kLog.Warning("A daemon sent malformed news of endpoints.");
+    kLog.Warning("Malformed endpoint update from a daemon; ignored.");
     return {};
   }
   const TimePoint now = this->clock.BootNow();
   const Milliseconds delay = this->delays[aSender].OnMessage(Milliseconds(message->sentAt), now);
   bool isChange = false;
   for (const EndpointRecord& entry : message->entries) {
-    isChange = this->Take(entry, true) || isChange;
+    isChange = this->HandleRecord(entry, true) || isChange;
   }
-  const bool isPlausible = message->age >= 0 && message->age <= kOldest.count();
-  if (isPlausible && this->end && message->from <= *this->end) {
+  const bool isPlausible = message->age >= 0 && message->age <= kMaximumPlausibleAge.count();
+  if (isPlausible && this->endVersion && message->firstVersion <= *this->endVersion) {
     const std::int64_t answeredFor =
-      std::clamp<std::int64_t>(message->answered, 0, kOldest.count());
+      std::clamp<std::int64_t>(message->answeredFor, 0, kMaximumPlausibleAge.count());
     const TimePoint readAt = now - delay - Milliseconds(message->age);
-    this->Extend({ readAt - Milliseconds(answeredFor), readAt }, message->end);
+    this->AdvanceTo({ readAt - Milliseconds(answeredFor), readAt }, message->endVersion);
   }
   if (isChange) {
-    this->OnChanged();
+    this->OnSnapshotChanged();
   }
-  this->toldConfiguration = std::max(this->toldConfiguration.load(), message->configuration);
+  this->newestPeerConfiguration =
+    std::max(this->newestPeerConfiguration.load(), message->configurationVersion);
   this->CompareDigest(message->digest);
-  if (message->isForAll && this->tells) {
-    this->Tell(false);
+  if (message->forwardToGroup && this->isAggregator) {
+    this->SendUpdates(false);
   }
-  return EncodePeerMessage(NewsAnswer{ this->end.has_value(), this->end.value_or(0) });
+  return EncodePeerMessage(
+    EndpointUpdateReply{ this->endVersion.has_value(), this->endVersion.value_or(0) });
 }
 
 void
@@ -294,17 +302,18 @@
 {
   const TimePoint now = this->clock.Now();
   if (aDigest == this->Digest()) {
-    this->differsSince.reset();
+    this->digestMismatchSince.reset();
     return;
   }
-  if (!this->differsSince) {
-    this->differsSince = now;
+  if (!this->digestMismatchSince) {
+    this->digestMismatchSince = now;
   }
-  const bool isPaused = this->repairedAt && now - *this->repairedAt < this->settings.repairPause;
-  if (now - *this->differsSince >= this->settings.repairAfter && !isPaused) {
+  const bool isTooSoon =
+    this->lastRepairAt && now - *this->lastRepairAt < this->settings.minimumRepairInterval;
+  if (now - *this->digestMismatchSince >= this->settings.digestMismatchTolerance && !isTooSoon) {
     kLog.Event(LogLevel::Warning, "endpoints_differ", { { "endpoints", this->versions.size() } });
-    this->repairedAt = now;
-    this->differsSince.reset();
+    this->lastRepairAt = now;
+    this->digestMismatchSince.reset();
     this->needsRepair = true;
   }
 }
@@ -314,8 +323,8 @@
 {
   if (!this->digest) {
     std::uint64_t sum = 0;
-    const FleetSnapshotPtr picture = this->directory.Snapshot();
-    for (const Endpoint& endpoint : picture->endpoints) {
+    const FleetSnapshotPtr snapshot = this->directory.Snapshot();
+    for (const Endpoint& endpoint : snapshot->endpoints) {
       sum ^= endpoint.state == EndpointState::Live ? HashBytes(endpoint.id) : 0;
     }
     this->digest = sum;
@@ -324,17 +333,17 @@
 }
 
 void
-EndpointNews::OnChanged()
+EndpointNews::OnSnapshotChanged()
 {
   this->digest.reset();
-  this->hooks.changed();
+  this->hooks.onChanged();
 }
 
 void
-EndpointNews::OnSource(bool aAnswers)
+EndpointNews::OnSourceReachability(bool aAnswers)
 {
   if (!aAnswers) {
-    this->ownAnsweredSince.reset();
+    this->ownReadsAnsweredSince.reset();
   }
   this->directory.OnSource(aAnswers);
 }
@@ -342,64 +351,64 @@
 bool
 EndpointNews::WatchesSource() const
 {
-  return this->rank < kReadersForAll || !this->IsCurrent();
+  return this->rank < kReaderRanks || !this->IsCurrent();
 }
 
 Milliseconds
-EndpointNews::Silence() const
+EndpointNews::StalenessLimit() const
 {
-  const int steps = this->rank < kReadersForAll ? 0 : this->tells ? 1 : 2;
-  return this->settings.readerSilence + this->settings.silenceStep * steps;
+  const int steps = this->rank < kReaderRanks ? 0 : this->isAggregator ? 1 : 2;
+  return this->settings.readerStalenessLimit + this->settings.stalenessLimitStep * steps;
 }
 
 Milliseconds
-EndpointNews::Pace() const
+EndpointNews::ReadInterval() const
 {
   if (this->rank == 0) {
-    return this->settings.readerPace;
+    return this->settings.readerInterval;
   }
   if (this->needsRepair) {
     return Milliseconds(0);
   }
   if (this->IsCurrent()) {
-    return this->settings.listenerPace;
+    return this->settings.listenerInterval;
   }
-  // The next in line reads for all now
-  if (this->rank < kReadersForAll) {
-    return this->settings.readerPace;
+  // The standby reader has taken over from the primary
+  if (this->rank < kReaderRanks) {
+    return this->settings.readerInterval;
   }
-  return std::clamp(this->settings.ownPacePerDaemon * this->daemons.load(),
-                    this->settings.readerPace, this->settings.ownPaceLimit);
+  return std::clamp(this->settings.directReadIntervalPerDaemon * this->daemonCount.load(),
+                    this->settings.readerInterval, this->settings.maximumDirectReadInterval);
 }
 
 void
 EndpointNews::Tick()
 {
   this->UpdatePlan();
-  this->Forget();
-  this->NoteAge();
+  this->PruneRetainedState();
+  this->LogStaleness();
   if (this->directory.Tick()) {
-    this->OnChanged();
+    this->OnSnapshotChanged();
   }
 }
 
 void
-EndpointNews::NoteAge()
+EndpointNews::LogStaleness()
 {
-  if (!this->end) {
+  if (!this->endVersion) {
     return;
   }
   const Milliseconds age = this->Age();
-  const bool wasLate = this->longestAge > Milliseconds(0);
-  if (age > this->settings.lateAfter) {
-    this->longestAge = std::max(this->longestAge, age);
-    if (!wasLate) {
+  const bool wasStale = this->longestStaleAge > Milliseconds(0);
+  if (age > this->settings.staleAfter) {
+    this->longestStaleAge = std::max(this->longestStaleAge, age);
+    if (!wasStale) {
       kLog.Event(LogLevel::Warning, "endpoints_late",
                  { { "age_ms", age.count() }, { "reads_itself", this->WatchesSource() } });
     }
-  } else if (wasLate) {
-    kLog.Event("endpoints_current", { { "longest_ms", this->longestAge.count() } });
-    this->longestAge = Milliseconds(0);
+  } else if (wasStale) {
+    kLog.Event("endpoints_current", { { "longest_ms", this->longestStaleAge.count() } });
+    this->longestStaleAge = Milliseconds(0);
   }
 }
 
@@ -407,32 +416,34 @@
 EndpointNews::UpdatePlan()
 {
   const PeerViewPtr view = this->membership.Peers();
-  if (view == this->planned) {
+  if (view == this->planView) {
     return;
   }
-  this->planned = view;
+  this->planView = view;
   this->plan = MakeAggregationPlan(this->self, true, *view, {});
   this->rank = this->plan.RankOf(this->self.Key());
-  this->tells = this->plan.IsAggregator(this->self.Key());
-  this->daemons = this->plan.daemons;
-  const auto isIn = [](const std::vector<PeerAddress>& aDaemons, PeerKey aKey) {
+  this->isAggregator = this->plan.IsAggregator(this->self.Key());
+  this->daemonCount = this->plan.daemons;
+  const auto contains = [](const std::vector<PeerAddress>& aDaemons, PeerKey aKey) {
     return std::any_of(aDaemons.begin(), aDaemons.end(),
                        [&](const PeerAddress& aEach) { return aEach.key == aKey; });
   };
-  std::erase_if(this->confirmed, [&](const auto& aReceiver) {
-    return !isIn(this->plan.members, aReceiver.first) && !isIn(this->plan.others, aReceiver.first);
+  std::erase_if(this->acknowledgedVersions, [&](const auto& aReceiver) {
+    return !contains(this->plan.members, aReceiver.first) &&
+           !contains(this->plan.others, aReceiver.first);
+  });
+  std::erase_if(this->delays, [&](const auto& aSender) {
+    return !contains(this->plan.candidates, aSender.first);
   });
-  std::erase_if(this->delays,
-                [&](const auto& aSender) { return !isIn(this->plan.candidates, aSender.first); });
 }
 
 void
-EndpointNews::Forget()
+EndpointNews::PruneRetainedState()
 {
-  if (this->refusals.size() > this->settings.remembered) {
-    this->refusals.clear();
+  if (this->refusalReasons.size() > this->settings.maximumRetainedIds) {
+    this->refusalReasons.clear();
   }
-  if (this->versions.size() <= this->settings.remembered) {
+  if (this->versions.size() <= this->settings.maximumRetainedIds) {
     return;
   }
   const FleetSnapshotPtr fleet = this->directory.Snapshot();
--- a/Lagoonward/Daemon/EndpointNews.h
+++ b/Lagoonward/Daemon/EndpointNews.h
@@ -15,29 +15,33 @@
 
 namespace lagoonward {
 
-/// What a daemon tells of beside the endpoints, and learns in turn.
+/// Functions that the owner of an EndpointNews supplies. Called on the control thread.
 struct EndpointNewsHooks
 {
   std::function<Result<Endpoint>(const EndpointRecord&)> decode;
-  std::function<void()> changed; ///< The picture has changed.
+  std::function<void()> onChanged; ///< The snapshot of the endpoints has changed.
   /// Version of the configuration in force here.
-  std::function<std::int64_t()> configuration = [] { return std::int64_t{ -1 }; };
+  std::function<std::int64_t()> configurationVersion = [] { return std::int64_t{ -1 }; };
 };
 
-/// Keeps the picture of the endpoints. One daemon reads the endpoints' records often, for the whole deployment, and tells
-/// the aggregators of all groups (AggregationPlan) what has changed; those tell their groups. So a leaving endpoint is
-/// known everywhere within one pace and two messages, and the source is asked as often whatever the number of daemons.
+/// Replicates the endpoint records to all daemons. One daemon, the primary reader, reads the records from the source at
+/// a short interval and sends the changes to the aggregators of all groups (AggregationPlan), which forward them to
+/// their groups. A leaving endpoint is therefore known on every daemon within one read interval and two messages, and
+/// the number of reads at the source does not depend on the number of daemons.
 ///
-/// Each picture has an age: everything that the source acknowledged before then is in it. A message tells its sender's,
-/// and the time that it took is added (DelayMeter). A daemon whose picture grows too old reads by itself, the next in line
-/// first; messages that come in time with news that is old do not keep it from that.
+/// Each snapshot has an age: it contains everything that the source acknowledged before that age. A message carries the
+/// age of its sender's snapshot, and the receiver adds the time in transit (DelayMeter). A daemon whose snapshot
+/// exceeds its staleness limit reads the source directly; the standby reader has the shortest limit. Messages that
+/// arrive in time but carry an old snapshot do not keep a daemon from reading directly.
 ///
-/// A picture is whole up to a version of the source, and a message goes on from one: the receiver confirms up to where
-/// its own is whole, and is told from there on. A message that begins beyond it leaves a gap and makes it no younger.
-/// Each also tells the digest of the endpoints that live, so that a fault in this shows, and the sender's configuration's
-/// version, so that who hears of reads need not ask for configurations either.
+/// A snapshot is complete up to a version of the source, and a message contains the changes from a version on: the
+/// receiver acknowledges the version up to which its snapshot is complete, and is sent the changes from there on. A
+/// message that begins beyond that version leaves a gap and does not make the snapshot any younger. Each message also
+/// carries the digest of the live endpoints, so that a fault in this protocol is detected, and the version of the
+/// sender's configuration, so that daemons that receive updates need not poll for configurations either.
 ///
-/// On the control thread, but for what is said to be for any thread. Register before the membership starts.
+/// Runs on the control thread, except for methods that are documented for any thread. Construct it, which registers the
+/// request handler, before the membership starts.
 class EndpointNews
 {
 public:
@@ -45,71 +49,74 @@
   EndpointNews(const EndpointNewsSettings& aSettings, MembershipService& aMembership,
                PeerInfo aSelf, EndpointNewsHooks aHooks, const Clock& aClock);
 
-  /// Begins to look at what is due.
+  /// Starts the periodic tick.
   void Start();
 
   /// A record was read from the source.
   void OnRecord(const EndpointRecord& aRecord);
 
-  /// All records there are were read from the source.
-  /// @param aEnd  records of this version and above are not among them
-  void OnWhole(const std::vector<EndpointRecord>& aRecords, std::int64_t aEnd);
+  /// All existing records were read from the source.
+  /// @param aEndVersion  records of this version and above are not among them
+  void OnFullRead(const std::vector<EndpointRecord>& aRecords, std::int64_t aEndVersion);
 
-  /// The source has answered a read; what it brought has been told by the calls above.
-  /// @param aAsOf  BootNow() at which the read began: what was acknowledged before then has been told
-  /// @param aEnd   records below this version have been told
-  void OnRead(TimePoint aAsOf, std::int64_t aEnd);
+  /// The source has answered a read; its records have been passed to the methods above.
+  /// @param aAsOf        BootNow() at which the read began: everything acknowledged before then has been passed
+  /// @param aEndVersion  all records below this version have been passed
+  void OnReadCompleted(TimePoint aAsOf, std::int64_t aEndVersion);
 
-  /// The source does not answer, or answers again.
-  void OnSource(bool aAnswers);
+  /// The source has stopped answering, or answers again.
+  void OnSourceReachability(bool aAnswers);
 
-  /// How long to wait between two reads as things stand. Any thread.
-  [[nodiscard]] Milliseconds Pace() const;
+  /// Interval between two reads of the source in the current state. Any thread.
+  [[nodiscard]] Milliseconds ReadInterval() const;
 
-  /// How old the picture is: all that the source had acknowledged before then is in it. The greatest value before the
-  /// first whole read. Any thread.
+  /// Age of the snapshot: it contains everything that the source had acknowledged before then. The greatest value
+  /// before the first full read. Any thread.
   [[nodiscard]] Milliseconds Age() const;
 
-  /// Whether this daemon reads often, for all. True until others are known. Any thread.
-  [[nodiscard]] bool IsReader() const { return this->rank == 0; }
+  /// Whether this daemon is the primary reader. True until other daemons are known. Any thread.
+  [[nodiscard]] bool IsPrimaryReader() const { return this->rank == 0; }
 
-  /// Whether this daemon tells others what it reads or hears. Any thread.
-  [[nodiscard]] bool TellsOthers() const { return this->tells; }
+  /// Whether this daemon is an aggregator of its group and forwards what it reads or receives. Any thread.
+  [[nodiscard]] bool IsAggregator() const { return this->isAggregator; }
 
-  /// Whether this daemon is to watch the source for what is rare as well: it reads for all, stands next in line, or hears
-  /// of no reads. Any thread.
+  /// Whether this daemon must also poll the source for data that changes rarely: it is the primary or the standby
+  /// reader, or its snapshot is older than its staleness limit. Any thread.
   [[nodiscard]] bool WatchesSource() const;
 
-  /// Newest configuration that others have told of. Any thread.
-  [[nodiscard]] std::int64_t ToldConfiguration() const { return this->toldConfiguration; }
+  /// Newest configuration version that other daemons have sent. Any thread.
+  [[nodiscard]] std::int64_t NewestPeerConfiguration() const
+  {
+    return this->newestPeerConfiguration;
+  }
 
-  /// Records so far that could not be read. Any thread.
-  [[nodiscard]] std::int64_t Refused() const { return this->refused; }
+  /// Number of records so far that could not be decoded. Any thread.
+  [[nodiscard]] std::int64_t RefusedRecords() const { return this->refusedRecords; }
 
   [[nodiscard]] FleetSnapshotPtr Snapshot() { return this->directory.Snapshot(); }
 
 private:
-  /// @return whether the picture has changed
-  bool Take(const EndpointRecord& aRecord, bool aFromPeer);
-  [[nodiscard]] bool Apply(const EndpointRecord& aRecord, bool aFromPeer);
-  [[nodiscard]] bool Refuse(const EndpointRecord& aRecord, const std::string& aReason);
-  /// @return the answer
-  [[nodiscard]] std::string TakeMessage(PeerKey aSender, std::string_view aBytes);
-  /// The picture holds all of the records below a version, as of the end of a span.
-  void Extend(const AnsweredSpan& aAnswered, std::int64_t aEnd);
-  void Tell(bool aToGroups);
-  void TellTo(std::span<const PeerAddress> aReceivers, bool aForGroups);
-  void OnConfirmed(PeerKey aReceiver, std::string_view aAnswer);
+  /// @return whether the snapshot has changed
+  bool HandleRecord(const EndpointRecord& aRecord, bool aFromPeer);
+  [[nodiscard]] bool ApplyToDirectory(const EndpointRecord& aRecord, bool aFromPeer);
+  [[nodiscard]] bool RefuseRecord(const EndpointRecord& aRecord, const std::string& aReason);
+  /// @return the encoded reply
+  [[nodiscard]] std::string HandleUpdate(PeerKey aSender, std::string_view aBytes);
+  /// The snapshot contains all records below a version, as of the end of a span.
+  void AdvanceTo(const AnsweredSpan& aAnswered, std::int64_t aEndVersion);
+  void SendUpdates(bool aToOtherGroups);
+  void SendUpdatesTo(std::span<const PeerAddress> aReceivers, bool aForwardToGroup);
+  void OnReply(PeerKey aReceiver, std::string_view aReply);
   void CompareDigest(std::uint64_t aDigest);
   [[nodiscard]] std::uint64_t Digest();
-  void OnChanged();
+  void OnSnapshotChanged();
   void Tick();
-  void NoteAge();
+  void LogStaleness();
   void UpdatePlan();
-  void Forget();
-  /// Age of the picture at which this daemon reads by itself.
-  [[nodiscard]] Milliseconds Silence() const;
-  [[nodiscard]] bool IsCurrent() const { return this->Age() <= this->Silence(); }
+  void PruneRetainedState();
+  /// Age of the snapshot at which this daemon reads the source directly.
+  [[nodiscard]] Milliseconds StalenessLimit() const;
+  [[nodiscard]] bool IsCurrent() const { return this->Age() <= this->StalenessLimit(); }
 
   EndpointNewsSettings settings;
   MembershipService& membership;
@@ -117,33 +124,33 @@
   EndpointNewsHooks hooks;
   const Clock& clock;
   EndpointDirectory directory;
-  std::unordered_map<std::string, std::int64_t> versions; ///< Newest known of each endpoint.
-  EndpointChanges changes;                                ///< What the others are told.
+  std::unordered_map<std::string, std::int64_t> versions; ///< Newest known version by endpoint id.
+  EndpointChanges changeLog;                              ///< Recent changes to send.
   std::optional<std::int64_t>
-    end; ///< The picture is whole below this version; empty before the first whole read.
+    endVersion; ///< The snapshot is complete below this version; empty before the first full read.
   std::atomic<TimePoint> asOf{ TimePoint::min() }; ///< BootNow(); see Age().
-  /// BootNow() of the first own read since one was not answered.
-  std::optional<TimePoint> ownAnsweredSince;
+  /// BootNow() of the first direct read since one was not answered.
+  std::optional<TimePoint> ownReadsAnsweredSince;
   AnsweredSpan
-    answered; ///< BootNow() times at which the source answered somebody; see EndpointDirectory.
+    answeredSpan; ///< BootNow() times at which the source answered any daemon; see EndpointDirectory.
   std::unordered_map<PeerKey, std::int64_t>
-    confirmed; ///< Below which version others' pictures are whole.
-  std::unordered_map<PeerKey, DelayMeter> delays; ///< Of those who tell.
-  Milliseconds longestAge{ 0 }; ///< Since the picture was late first; zero while it is not.
-  PeerViewPtr planned;          ///< The view that the plan rests on.
+    acknowledgedVersions; ///< Version below which each receiver's snapshot is complete.
+  std::unordered_map<PeerKey, DelayMeter> delays; ///< By sender.
+  Milliseconds longestStaleAge{ 0 }; ///< Since the snapshot became stale; zero while it is not.
+  PeerViewPtr planView;              ///< The view that the plan was computed from.
   AggregationPlan plan;
-  std::atomic<int> rank{ 0 };      ///< In the plan; zero reads for all.
-  std::atomic<bool> tells{ true }; ///< Whether this daemon is an aggregator of its group.
-  std::atomic<int> daemons{ 1 };
-  std::atomic<std::int64_t> toldConfiguration{ -1 };
-  std::atomic<bool> needsRepair{ false }; ///< Something was missed; the next read is due at once.
-  std::optional<TimePoint> differsSince;  ///< Since when the digest told differs.
-  std::optional<TimePoint> repairedAt;
-  std::optional<std::uint64_t> digest; ///< Of the picture; empty after a change.
+  std::atomic<int> rank{ 0 }; ///< In the plan; 0 is the primary reader, 1 the standby reader.
+  std::atomic<bool> isAggregator{ true }; ///< Whether this daemon is an aggregator of its group.
+  std::atomic<int> daemonCount{ 1 };
+  std::atomic<std::int64_t> newestPeerConfiguration{ -1 };
+  std::atomic<bool> needsRepair{ false }; ///< An update was missed; the next read is due at once.
+  std::optional<TimePoint> digestMismatchSince; ///< Since when received digests have differed.
+  std::optional<TimePoint> lastRepairAt;
+  std::optional<std::uint64_t> digest; ///< Of the snapshot; empty after a change.
   std::unordered_map<std::string, std::string>
-    refusals; ///< Last reason by id, for one log line each.
-  std::atomic<std::int64_t> refused{ 0 };
-  bool isChanged = false; ///< Since the picture was published.
+    refusalReasons; ///< Last reason by id, so that each is logged once.
+  std::atomic<std::int64_t> refusedRecords{ 0 };
+  bool hasUnpublishedChanges = false;
 };
 
 } // namespace lagoonward
--- a/Lagoonward/Daemon/EndpointNewsMessages.h
+++ b/Lagoonward/Daemon/EndpointNewsMessages.h
@@ -7,37 +7,38 @@
 
 namespace lagoonward {
 
-/// The picture of the sender, as far as the receiver may not have it.
-struct NewsMessage
+/// State of the sender's snapshot, and the changes that the receiver has not acknowledged.
+struct EndpointUpdateMessage
 {
-  bool isForAll = false;     ///< Whether the receiver is to tell its group.
-  std::int64_t sentAt = 0;   ///< Milliseconds of the sender's BootNow(), see DelayMeter.
-  std::int64_t age = 0;      ///< Of the sender's picture, in milliseconds.
-  std::int64_t answered = 0; ///< How long before that the source had answered, in milliseconds.
-  std::int64_t from = 0;     ///< All changes of this version and above are among the entries.
-  std::int64_t end = 0;      ///< The sender's picture is whole below this version.
-  std::uint64_t digest = 0;  ///< Of the endpoints that live as the sender knows them.
-  std::int64_t configuration = 0; ///< Version in force at the sender.
+  bool forwardToGroup = false; ///< Whether the receiver is to send its own update to its group.
+  std::int64_t sentAt = 0;     ///< Milliseconds of the sender's BootNow(), see DelayMeter.
+  std::int64_t age = 0;        ///< Of the sender's snapshot, in milliseconds.
+  std::int64_t answeredFor =
+    0; ///< Length of the span up to then in which the source had answered, in milliseconds.
+  std::int64_t firstVersion = 0; ///< The entries contain all changes of this version and above.
+  std::int64_t endVersion = 0;   ///< The sender's snapshot is complete below this version.
+  std::uint64_t digest = 0;      ///< Of the live endpoints in the sender's snapshot.
+  std::int64_t configurationVersion = 0; ///< In force at the sender.
   std::vector<EndpointRecord> entries;
 
   template<class Archive>
   void serialize(Archive& aArchive)
   {
-    aArchive(this->isForAll, this->sentAt, this->age, this->answered, this->from, this->end,
-             this->digest, this->configuration, this->entries);
+    aArchive(this->forwardToGroup, this->sentAt, this->age, this->answeredFor, this->firstVersion,
+             this->endVersion, this->digest, this->configurationVersion, this->entries);
   }
 };
 
-/// The answer to it.
-struct NewsAnswer
+/// Reply to an EndpointUpdateMessage.
+struct EndpointUpdateReply
 {
-  bool isWhole = false; ///< Whether the receiver has read the whole once.
-  std::int64_t end = 0; ///< Its picture is whole below this version.
+  bool hasFullSnapshot = false; ///< Whether the receiver has completed a full read.
+  std::int64_t endVersion = 0;  ///< Its snapshot is complete below this version.
 
   template<class Archive>
   void serialize(Archive& aArchive)
   {
-    aArchive(this->isWhole, this->end);
+    aArchive(this->hasFullSnapshot, this->endVersion);
   }
 };
 
--- a/Lagoonward/Daemon/EndpointNewsSettings.cpp
+++ b/Lagoonward/Daemon/EndpointNewsSettings.cpp
@@ -6,21 +6,22 @@
 
 namespace {
 
-/// For news to pass through two daemons, some milliseconds each, beside other work of a small host.
-constexpr Milliseconds kOnTheWay{ 100 };
+/// Time for an update to pass through two daemons: some milliseconds each, while a small host does other work.
+constexpr Milliseconds kDisseminationDelay{ 100 };
 
 } // namespace
 
 EndpointNewsSettings
-EndpointNewsSettingsFor(Milliseconds aLeavingNotice)
+EndpointReplicatorSettingsFor(Milliseconds aLeavingNotice)
 {
   EndpointNewsSettings settings;
-  settings.readerPace = std::clamp(aLeavingNotice / 5, Milliseconds(50), Milliseconds(1000));
-  settings.readerSilence = 2 * settings.readerPace + kOnTheWay;
-  settings.silenceStep = std::min(aLeavingNotice / 14, Milliseconds(400));
-  settings.ownPaceLimit = settings.readerSilence;
-  settings.lateAfter = aLeavingNotice * 3 / 4;
-  settings.repeat = settings.readerSilence + 2 * settings.silenceStep + 2 * settings.readerPace;
+  settings.readerInterval = std::clamp(aLeavingNotice / 5, Milliseconds(50), Milliseconds(1000));
+  settings.readerStalenessLimit = 2 * settings.readerInterval + kDisseminationDelay;
+  settings.stalenessLimitStep = std::min(aLeavingNotice / 14, Milliseconds(400));
+  settings.maximumDirectReadInterval = settings.readerStalenessLimit;
+  settings.staleAfter = aLeavingNotice * 3 / 4;
+  settings.changeRetention =
+    settings.readerStalenessLimit + 2 * settings.stalenessLimitStep + 2 * settings.readerInterval;
   return settings;
 }
 
--- a/Lagoonward/Daemon/EndpointNewsSettings.h
+++ b/Lagoonward/Daemon/EndpointNewsSettings.h
@@ -6,51 +6,54 @@
 
 namespace lagoonward {
 
-/// Tunables of endpoint news. The figures are for a leaving endpoint that must be known within two seconds; see
-/// EndpointNewsSettingsFor().
+/// Tunables of EndpointNews. The defaults are for a leaving endpoint that must be known within two seconds; see
+/// EndpointReplicatorSettingsFor().
 struct EndpointNewsSettings
 {
-  /// Between two reads of the daemon that reads for all. A reclaim may come with a second of notice, so half of one is
-  /// the most.
-  Milliseconds readerPace{ 400 };
+  /// Between two reads of the primary reader. A reclaim may come with a second of notice, so half of that is the upper
+  /// bound.
+  Milliseconds readerInterval{ 400 };
 
-  /// Between two reads of a daemon that hears of reads. What it may have missed shows in the digest, so this only bounds
+  /// Between two direct reads of a daemon that receives updates. Missed updates show in the digest, so this only bounds
   /// how long a fault of the digest itself could last.
-  Milliseconds listenerPace{ 300'000 };
-
-  /// The next in line reads in the reader's place once its picture is so old: two messages missed.
-  Milliseconds readerSilence{ 900 };
-
-  /// Aggregators wait so much longer before they read by themselves, and all others twice that, so that the death of the
-  /// reader does not make all read at once.
-  Milliseconds silenceStep{ 142 };
-
-  /// Between two reads of a daemon that has no reader: so much for each daemon, as all may be without, but
-  /// never more than ownPaceLimit.
-  Milliseconds ownPacePerDaemon{ 30 };
-  Milliseconds ownPaceLimit{ 900 };
-
-  /// Changes are kept so long for those who have not confirmed them, as messages may be lost and their sender succeeded:
-  /// longer than the longest silence.
-  Milliseconds repeat{ 1'984 };
-
-  /// A picture older than this is written down: of the time in which a leaving must be known a quarter is left.
-  Milliseconds lateAfter{ 1'500 };
-
-  /// A digest that differs for so long shows that something was missed: removals are held back for up to some seconds
-  /// where the source was away.
-  Milliseconds repairAfter{ 6'000 };
-  Milliseconds repairPause{ 30'000 }; ///< Between two reads for that reason.
-
-  Milliseconds timeout{ 800 };   ///< For one message.
-  Milliseconds tick{ 200 };      ///< Between two looks at what is due.
-  std::size_t remembered = 4096; ///< Versions kept of endpoints that are gone.
+  Milliseconds listenerInterval{ 300'000 };
+
+  /// The standby reader takes over from the primary once its snapshot is this old: two messages missed.
+  Milliseconds readerStalenessLimit{ 900 };
+
+  /// Aggregators wait this much longer before they read directly, and all other daemons twice that, so that a failure
+  /// of the primary reader does not make all daemons read at once.
+  Milliseconds stalenessLimitStep{ 142 };
+
+  /// Between two direct reads of a daemon that receives no updates: this much for each daemon of the deployment, as all
+  /// may be without a reader, but never more than maximumDirectReadInterval.
+  Milliseconds directReadIntervalPerDaemon{ 30 };
+  Milliseconds maximumDirectReadInterval{ 900 };
+
+  /// How long changes are kept for daemons that have not acknowledged them, as messages may be lost and another daemon
+  /// may take over from their sender: longer than the longest staleness limit.
+  Milliseconds changeRetention{ 1'984 };
+
+  /// A snapshot older than this is logged: a quarter of the time in which a leaving endpoint must be known is left.
+  Milliseconds staleAfter{ 1'500 };
+
+  /// A digest that differs for this long shows that an update was missed. Without a fault it can differ for some
+  /// seconds, as daemons that saw an outage of the source hold back removals for up to that long.
+  Milliseconds digestMismatchTolerance{ 6'000 };
+  Milliseconds minimumRepairInterval{
+    30'000
+  }; ///< Between two reads that a digest mismatch causes.
+
+  Milliseconds timeout{ 800 };      ///< For one message.
+  Milliseconds tickInterval{ 200 }; ///< Between two checks of the plan, the age and the directory.
+  std::size_t maximumRetainedIds =
+    4096; ///< Ids above which those of removed endpoints are dropped.
 };
 
-/// Paces and silences for endpoints whose leaving must be known everywhere within a time. In the worst case the reader
-/// dies right after a record came; then a daemon that nobody reads for finds it after readerSilence + 2 silenceStep:
-/// a little over half of that time, and a tenth of a second.
+/// Intervals and staleness limits for endpoints whose leaving must be known on all daemons within a time. In the worst
+/// case the primary reader dies right after a record was written; then a daemon that receives no updates finds it after
+/// readerStalenessLimit + 2 stalenessLimitStep: a little over half of that time, and a tenth of a second.
 [[nodiscard]] EndpointNewsSettings
-EndpointNewsSettingsFor(Milliseconds aLeavingNotice);
+EndpointReplicatorSettingsFor(Milliseconds aLeavingNotice);
 
 } // namespace lagoonward
--- a/Lagoonward/Daemon/PlatformWatcher.cpp
+++ b/Lagoonward/Daemon/PlatformWatcher.cpp
@@ -14,13 +14,13 @@
 
 PlatformWatcher::PlatformWatcher(const PlatformWatcherSettings& aSettings, const Clock& aClock,
                                  const std::string& aHostListUrl, const std::string& aCloudUrl,
-                                 PlatformNews aNews)
+                                 PlatformNews aFeed)
   : settings(aSettings)
   , clock(aClock)
   , hostList(aHostListUrl, aSettings.platform)
   , cloud(aCloudUrl, aSettings.platform)
-  , news(std::move(aNews))
-  , hostListPace(aSettings.hostList)
+  , feed(std::move(aFeed))
+  , hostListPollInterval(aSettings.hostList)
 {
 }
 
@@ -71,7 +71,7 @@
       return;
     }
     if (answered != (pause == Milliseconds(0))) {
-      kLog.Warning("The platform {} for the {}.", answered ? "answers again" : "does not answer",
+      kLog.Warning("The platform {} (request: {}).", answered ? "answers again" : "does not answer",
                    aWhat);
     }
     pause = answered
@@ -85,15 +85,15 @@
 bool
 PlatformWatcher::ReadHosts()
 {
-  if (!this->hostListPace.IsDue(this->clock.Now(), this->news.readsHostList())) {
+  if (!this->hostListPollInterval.IsDue(this->clock.Now(), this->feed.readsHostList())) {
     return true;
   }
   auto hosts = this->hostList.Hosts();
   if (!hosts) {
     return false;
   }
-  this->hostListPace.OnRead(this->clock.Now(), hosts.value().size());
-  this->news.onHosts(std::move(hosts.value()));
+  this->hostListPollInterval.OnRead(this->clock.Now(), hosts.value().size());
+  this->feed.onHosts(std::move(hosts.value()));
   this->hasHosts = true;
   return true;
 }
@@ -105,20 +105,20 @@
   if (!prices) {
     return false;
   }
-  this->news.onPrices(std::move(prices.value()));
+  this->feed.onPrices(std::move(prices.value()));
   return true;
 }
 
 bool
 PlatformWatcher::ReadNotices()
 {
-  auto page = this->cloud.Notices(this->nextNotice, this->settings.noticeWait);
+  auto page = this->cloud.Notices(this->nextNotice, this->settings.noticePollTimeout);
   if (!page) {
     return false;
   }
   this->nextNotice = std::max(this->nextNotice, page.value().end);
   if (!page.value().notices.empty()) {
-    this->news.onNotices(page.value().notices);
+    this->feed.onNotices(page.value().notices);
   }
   return true;
 }
--- a/Lagoonward/Daemon/PlatformWatcher.h
+++ b/Lagoonward/Daemon/PlatformWatcher.h
@@ -16,28 +16,28 @@
 
 namespace lagoonward {
 
-/// How often the platform is asked.
+/// Tunables of the PlatformWatcher.
 struct PlatformWatcherSettings
 {
   HostListSettings hostList;
   Milliseconds priceInterval{ 10'000 };
-  Milliseconds noticeWait{ 5000 }; ///< Longest wait of one long poll for notices.
-  Milliseconds retryPause{ 500 };  ///< After a failure; doubles up to retryPauseLimit.
+  Milliseconds noticePollTimeout{ 5000 }; ///< Of one long poll for notices.
+  Milliseconds retryPause{ 500 };         ///< After a failure; doubles up to retryPauseLimit.
   Milliseconds retryPauseLimit{ 10'000 };
   PlatformSettings platform;
 };
 
-/// Told of news from the platform; called on the watcher's threads.
+/// Callbacks for data from the platform. Called on the watcher's threads.
 struct PlatformNews
 {
-  std::function<bool()> readsHostList; ///< Whether this daemon reads it for its region.
+  std::function<bool()> readsHostList; ///< Whether this daemon reads the host list for its region.
   std::function<void(std::vector<HostEntry>)> onHosts;
   std::function<void(std::vector<Price>)> onPrices;
   std::function<void(const std::vector<ReclaimNotice>&)> onNotices;
 };
 
-/// Reads the host list, the prices and the reclaim notices, each on a thread of its own, as their
-/// calls block. An outage changes nothing: what was last known stays.
+/// Reads the host list, the prices and the reclaim notices, each on a thread of its own, as their calls block. During
+/// an outage of the platform no callback is called, so the last data stays in use.
 class PlatformWatcher final : public Service
 {
 public:
@@ -45,7 +45,7 @@
 
   PlatformWatcher(const PlatformWatcherSettings& aSettings, const Clock& aClock,
                   const std::string& aHostListUrl, const std::string& aCloudUrl,
-                  PlatformNews aNews);
+                  PlatformNews aFeed);
   ~PlatformWatcher() override;
 
   [[nodiscard]] std::string_view Name() const override;
@@ -56,7 +56,7 @@
   [[nodiscard]] bool HasHosts() const { return this->hasHosts; }
 
 private:
-  /// Repeats a step until asked to stop. The step returns whether the platform answered.
+  /// Repeats a step until a stop is requested. The step returns whether the platform answered.
   void Repeat(const std::stop_token& aStop, std::string_view aWhat, Milliseconds aInterval,
               const std::function<bool()>& aStep);
   [[nodiscard]] bool ReadHosts();
@@ -67,9 +67,9 @@
   const Clock& clock;
   HttpHostListService hostList;
   HttpCloudService cloud;
-  PlatformNews news;
-  Offset nextNotice = 0;     ///< Notices thread only.
-  HostListPace hostListPace; ///< Host list thread only.
+  PlatformNews feed;
+  Offset nextNotice = 0;             ///< Notices thread only.
+  HostListPace hostListPollInterval; ///< Host list thread only.
   std::atomic<bool> hasHosts{ false };
   std::mutex sleepMutex;
   std::condition_variable_any sleeping;
--- a/Lagoonward/Daemon/RelayDaemon.cpp
+++ b/Lagoonward/Daemon/RelayDaemon.cpp
@@ -17,29 +17,31 @@
 constexpr std::string_view kRelayMarket = "relay";
 constexpr std::string_view kConfigurationState = "relay/configuration";
 
-/// A balancer that asks once a second takes a daemon out after two misses; a little more covers the way.
-constexpr Milliseconds kBalancerNotice{ 2500 };
+/// A load balancer that probes once a second removes a daemon after two failed probes; the rest covers the latency of
+/// these.
+constexpr Milliseconds kBalancerDetectionTime{ 2500 };
 
-/// When a caller turned away by a leaving daemon should try again, elsewhere.
-constexpr Milliseconds kElsewhere{ 50 };
+/// Retry-after for a caller that a draining daemon rejects; another daemon can serve it at once.
+constexpr Milliseconds kDrainRetryAfter{ 50 };
 
-/// Left between the last answer and the end by force, for the answers to reach their callers.
-constexpr Milliseconds kEndMargin{ 900 };
-/// A configuration that others have told of and that has not come from them after this part of the time in which it must
-/// be in force is read at the source: one of a thousand routes has 250 KB, 0.2 s of a small host's link, and passes
-/// through several hosts on its way.
-constexpr int kConfigurationPatienceParts = 4;
+/// Time left between the last response and the forced termination, for the responses to reach their callers.
+constexpr Milliseconds kResponseFlushMargin{ 900 };
 
-/// So long after its start a daemon believes the list of daemons, which keeps those that are gone; then the failure
-/// detector has found out who lives.
-constexpr Milliseconds kListBelieved{ 4000 };
+/// The time in which a configuration must be in force, divided by this, is the time that peers have to deliver a
+/// configuration whose version they have announced; afterwards it is read from the source. A configuration of a
+/// thousand routes has 250 KB, which take 0.2 s of a small host's link, and it passes through several hosts.
+constexpr int kConfigurationWaitDivisor = 4;
 
-constexpr Milliseconds kDrainPoll{ 20 };
+/// How long after its start a daemon counts the daemons of the external list, which also contains terminated ones; by
+/// then the failure detector has found the live ones.
+constexpr Milliseconds kDaemonListValidity{ 4000 };
+
+constexpr Milliseconds kDrainPollInterval{ 20 };
 
 constexpr int kOk = 200;
 constexpr int kUnavailable = 503;
 
-/// The largest header block and what the library needs beside it.
+/// Memory of a connection: the largest header block, and what the HTTP library needs in addition.
 constexpr std::size_t kConnectionMemory = 48U << 10U;
 
 } // namespace
@@ -67,7 +69,8 @@
 RelayDaemon::Start(RelayPorts aPorts)
 {
   if (sodium_init() < 0) {
-    return Error(ErrorKind::Internal, "libsodium cannot be initialized.");
+    return Error(ErrorKind::Internal,
+                 "libsodium could not be initialized; the daemon does not start.");
   }
   this->ports = std::move(aPorts);
   if (auto built = this->BuildMembership(); !built) {
@@ -76,14 +79,15 @@
   this->relay = &this->kernel.Add(
     std::make_unique<RelayService>(RelaySettings{}, this->ports.endpoints, *this->market,
                                    this->fleet, this->reporter, this->clock));
-  this->relay->SetLender(*this->loans);
-  this->relay->SetPermits(*this->permits);
-  this->BuildDuties();
+  this->relay->SetLender(*this->limitTokenExchange);
+  this->relay->SetPermits(*this->permitExchange);
+  this->BuildLeaderTasks();
   this->BuildServers();
   if (auto started = this->kernel.StartAll(); !started) {
     return started;
   }
-  for (HttpServer* server : { this->callers.get(), this->readiness.get(), this->metrics.get() }) {
+  for (HttpServer* server :
+       { this->callerServer.get(), this->readinessServer.get(), this->metricsServer.get() }) {
     if (server == nullptr) {
       continue;
     }
@@ -92,9 +96,9 @@
     }
   }
   this->membership->Loop().Run([this] {
-    this->load->Start();
-    this->ApplyDaemons();
-    this->endpoints->Start();
+    this->loadExchange->Start();
+    this->ApplyDaemonList();
+    this->endpointReplicator->Start();
   });
   kLog.Event("started", { { "host", this->settings.name },
                           { "failure_domain", this->settings.failureDomain },
@@ -117,7 +121,7 @@
   identity.self.region = this->settings.region;
   const PeerInfo self = identity.self;
   identity.session = static_cast<std::uint64_t>(ToUnixMilliseconds(this->clock.WallNow()));
-  // Endpoints tell of themselves in the platform's store, so nobody polls them
+  // Endpoints publish their state in the platform's store, so daemons do not poll them
   const auto poll = [this](const HostEntry&, const MembershipService::PollDone& aDone) {
     EndpointLoad nothing;
     nothing.asOf = this->clock.WallNow();
@@ -126,44 +130,46 @@
   this->membership = &this->kernel.Add(std::make_unique<MembershipService>(
     this->clock, std::move(identity), std::move(keys.value()), MembershipSettings{}, poll));
   this->membership->OnState([this](const SharedState& aState) {
-    return aState.name == kConfigurationState && this->TakeConfiguration(aState.bytes, true);
+    return aState.name == kConfigurationState && this->ApplyConfiguration(aState.bytes, true);
   });
   this->membership->OnPeers([this](const PeerViewPtr& aView) {
     this->market->SetLiveDaemons(static_cast<int>(aView->peers.size()) + 1);
-    this->CountDaemons();
-    this->keepers->OnPeers(*aView);
-    this->loans->OnKeepers();
-    this->crashes->OnKeepers();
+    this->UpdateDaemonCount();
+    this->keyOwners->OnPeers(*aView);
+    this->limitTokenExchange->OnKeepers();
+    this->crashExchange->OnKeepers();
   });
   LoadExchangeFacts facts;
   facts.self = self;
   facts.run = HashBytes(this->incarnation);
   facts.usage = [this] { return this->usage.Read(); };
-  facts.leader = [this] { return this->duties->OwnTenure(); };
+  facts.leader = [this] { return this->leaderTasks->OwnTenure(); };
   facts.market = this->market.get();
-  this->load = std::make_unique<LoadExchange>(LoadExchangeSettings{}, std::move(facts),
-                                              *this->membership, this->clock);
-  this->keepers = std::make_unique<KeeperDirectory>(self, this->clock);
-  this->loans = std::make_unique<LimitLoans>(
-    KeeperQuerySettings{}, *this->keepers, *this->membership, this->market->admission, this->clock);
-  this->crashes = std::make_unique<CrashExchange>(
-    CrashExchangeSettings{}, *this->keepers, *this->membership, this->market->poison, this->clock);
-  this->permits =
-    std::make_unique<PermitExchange>(KeeperQuerySettings{}, *this->keepers, *this->membership,
+  this->loadExchange = std::make_unique<LoadExchange>(LoadExchangeSettings{}, std::move(facts),
+                                                      *this->membership, this->clock);
+  this->keyOwners = std::make_unique<KeeperDirectory>(self, this->clock);
+  this->limitTokenExchange =
+    std::make_unique<LimitLoans>(KeeperQuerySettings{}, *this->keyOwners, *this->membership,
+                                 this->market->admission, this->clock);
+  this->crashExchange =
+    std::make_unique<CrashExchange>(CrashExchangeSettings{}, *this->keyOwners, *this->membership,
+                                    this->market->poison, this->clock);
+  this->permitExchange =
+    std::make_unique<PermitExchange>(KeeperQuerySettings{}, *this->keyOwners, *this->membership,
                                      this->market->endpointLimits, this->clock);
   EndpointNewsHooks hooks;
   hooks.decode = this->ports.decodeEndpoint;
-  hooks.changed = [this] { this->PublishFleet(); };
-  hooks.configuration = [this] { return this->ConfigurationVersion(); };
-  this->endpoints =
-    std::make_unique<EndpointNews>(EndpointNewsSettingsFor(this->settings.leavingNotice),
+  hooks.onChanged = [this] { this->PublishFleet(); };
+  hooks.configurationVersion = [this] { return this->ConfigurationVersion(); };
+  this->endpointReplicator =
+    std::make_unique<EndpointNews>(EndpointReplicatorSettingsFor(this->settings.leavingNotice),
                                    *this->membership, self, std::move(hooks), this->clock);
-  this->reporter.SetEndpointsAge([this] { return this->endpoints->Age(); });
+  this->reporter.SetEndpointsAge([this] { return this->endpointReplicator->Age(); });
   return boost::outcome_v2::success();
 }
 
 void
-RelayDaemon::BuildDuties()
+RelayDaemon::BuildLeaderTasks()
 {
   DutyFacts facts;
   facts.self = this->settings.peer.address;
@@ -172,46 +178,46 @@
   facts.inForce = [this] { return this->InForce(); };
   facts.fleet = &this->fleet;
   facts.router = &this->market->router;
-  facts.load = this->load.get();
-  this->duties = &this->kernel.Add(
-    std::make_unique<DutyService>(DutySettingsOf(this->settings), std::move(facts),
+  facts.load = this->loadExchange.get();
+  this->leaderTasks = &this->kernel.Add(
+    std::make_unique<DutyService>(LeaderTaskSettingsOf(this->settings), std::move(facts),
                                   this->ports.duties, this->usage, this->clock));
-  this->reporter.OnBeganDo([this](const RelayCall& aCall) {
+  this->reporter.SetBeganHandler([this](const RelayCall& aCall) {
     if (!aCall.account.empty()) {
       this->usage.OnBegan(aCall.account);
     }
   });
-  this->reporter.OnSentDo([this](const RelayCall& aCall, const EngineWork& aWork) {
-    this->load->OnSent(aCall.service, aWork);
+  this->reporter.SetSentHandler([this](const RelayCall& aCall, const EngineWork& aWork) {
+    this->loadExchange->OnSent(aCall.service, aWork);
   });
 }
 
 void
 RelayDaemon::BuildServers()
 {
-  HttpServerSettings front;
-  front.address = this->settings.listen.address;
-  front.port = this->settings.listen.port;
-  front.connectionMemoryBytes = kConnectionMemory;
-  this->callers = std::make_unique<HttpServer>(
-    front, [this](HttpRequest aRequest, const HttpExchangePtr& aExchange) {
+  HttpServerSettings callerSettings;
+  callerSettings.address = this->settings.listen.address;
+  callerSettings.port = this->settings.listen.port;
+  callerSettings.connectionMemoryBytes = kConnectionMemory;
+  this->callerServer = std::make_unique<HttpServer>(
+    callerSettings, [this](HttpRequest aRequest, const HttpExchangePtr& aExchange) {
       this->HandleCall(std::move(aRequest), aExchange);
     });
 
-  HttpServerSettings ready;
-  ready.address = this->settings.ready.address;
-  ready.port = this->settings.ready.port;
-  this->readiness = std::make_unique<HttpServer>(
-    ready, [this](const HttpRequest&, const HttpExchangePtr& aExchange) {
+  HttpServerSettings readinessSettings;
+  readinessSettings.address = this->settings.ready.address;
+  readinessSettings.port = this->settings.ready.port;
+  this->readinessServer = std::make_unique<HttpServer>(
+    readinessSettings, [this](const HttpRequest&, const HttpExchangePtr& aExchange) {
       aExchange->Respond(this->IsReady() ? kOk : kUnavailable, {}, {});
     });
 
   if (this->settings.metrics.port != 0) {
-    HttpServerSettings page;
-    page.address = this->settings.metrics.address;
-    page.port = this->settings.metrics.port;
-    this->metrics = std::make_unique<HttpServer>(
-      page, [this](const HttpRequest&, const HttpExchangePtr& aExchange) {
+    HttpServerSettings metricsSettings;
+    metricsSettings.address = this->settings.metrics.address;
+    metricsSettings.port = this->settings.metrics.port;
+    this->metricsServer = std::make_unique<HttpServer>(
+      metricsSettings, [this](const HttpRequest&, const HttpExchangePtr& aExchange) {
         aExchange->Respond(kOk, { { "Content-Type", "text/plain; version=0.0.4" } },
                            this->reporter.MetricsText(this->State()));
       });
@@ -222,10 +228,10 @@
 RelayDaemon::HandleCall(HttpRequest aRequest, const HttpExchangePtr& aExchange)
 {
   auto caller = std::make_unique<ExchangeCaller>(aExchange, this->ports.callers.writeError);
-  if (this->refusing) {
-    // What is taken now could be cut off by the end of the grace period
-    caller->Refuse(
-      Error(ErrorKind::Draining, "This daemon is leaving.").WithRetryAfter(kElsewhere));
+  if (this->rejectsRequests) {
+    // The end of the grace period could cut off a request that is accepted now
+    caller->Refuse(Error(ErrorKind::Draining, "This daemon is draining; retry at another one.")
+                     .WithRetryAfter(kDrainRetryAfter));
     return;
   }
   auto call = this->ports.callers.read(std::move(aRequest));
@@ -241,7 +247,7 @@
 RelayConfigurationPtr
 RelayDaemon::InForce() const
 {
-  return std::atomic_load(&this->inForce);
+  return std::atomic_load(&this->configurationInForce);
 }
 
 RelayState
@@ -250,7 +256,7 @@
   RelayState state;
   const RelayConfigurationPtr current = this->InForce();
   state.configurationVersion = current == nullptr ? 0 : current->routes->Version();
-  // Services that have lost their last endpoint count zero
+  // A service that has lost its last endpoint is reported with zero
   if (current != nullptr) {
     for (const RelayServiceFacts& service : current->services) {
       state.endpoints[service.name] = {};
@@ -258,15 +264,15 @@
   }
   const FleetSnapshotPtr snapshot = this->fleet.Get();
   for (const Endpoint& endpoint : snapshot->endpoints) {
-    EndpointTally& tally = state.endpoints[endpoint.name];
-    ++(endpoint.state == EndpointState::Live ? tally.live : tally.leaving);
+    EndpointCounts& counts = state.endpoints[endpoint.name];
+    ++(endpoint.state == EndpointState::Live ? counts.live : counts.leaving);
   }
   state.daemons = this->LiveDaemons();
-  state.openRequests = this->callers->OpenExchanges();
-  state.leads = this->duties->Leads();
-  state.readsEndpoints = this->endpoints->IsReader();
-  state.refusedRecords = this->endpoints->Refused();
-  state.endpointsAge = this->endpoints->Age();
+  state.openRequests = this->callerServer->OpenExchanges();
+  state.isLeader = this->leaderTasks->Leads();
+  state.isEndpointReader = this->endpointReplicator->IsPrimaryReader();
+  state.refusedRecords = this->endpointReplicator->RefusedRecords();
+  state.endpointsAge = this->endpointReplicator->Age();
   state.poisonedRequests = this->market->poison.Poisoned();
   state.limitedEndpoints = static_cast<int>(this->market->endpointLimits.Limited().size());
   return state;
@@ -288,14 +294,14 @@
 RelayDaemon::OnConfiguration(const std::string& aText)
 {
   this->membership->Loop().Run(
-    [this, &aText] { static_cast<void>(this->TakeConfiguration(aText, false)); });
+    [this, &aText] { static_cast<void>(this->ApplyConfiguration(aText, false)); });
 }
 
 bool
-RelayDaemon::TakeConfiguration(const std::string& aText, bool aFromPeer)
+RelayDaemon::ApplyConfiguration(const std::string& aText, bool aFromPeer)
 {
-  // Read by this daemon and told by others, it comes more than once; to decode a large one stalls a small host
-  if (aText == this->textInForce) {
+  // The same text arrives several times, from the source and from peers; decoding a large one stalls a small host
+  if (aText == this->configurationTextInForce) {
     return false;
   }
   auto decoded = this->ports.decodeConfiguration(aText);
@@ -310,14 +316,14 @@
   if (current != nullptr && version <= current->routes->Version()) {
     return false;
   }
-  // Accounts first: a request under the new routes needs its account
+  // Accounts first, as a request under the new routes needs its account
   auto configuration = std::make_shared<Configuration>();
   configuration->market = kRelayMarket;
   configuration->offset = version;
   configuration->manifest = next->manifest;
   this->market->ApplyConfiguration(configuration);
-  std::atomic_store(&this->inForce, next);
-  this->textInForce = aText;
+  std::atomic_store(&this->configurationInForce, next);
+  this->configurationTextInForce = aText;
   this->PublishFleet();
   kLog.Event("configuration", { { "version", version },
                                 { "from_peer", aFromPeer },
@@ -338,15 +344,15 @@
 RelayDaemon::OnEndpointRecord(EndpointRecord aRecord)
 {
   this->membership->Loop().Post(
-    [this, record = std::move(aRecord)] { this->endpoints->OnRecord(record); });
+    [this, record = std::move(aRecord)] { this->endpointReplicator->OnRecord(record); });
 }
 
 void
 RelayDaemon::OnEndpointRecords(std::vector<EndpointRecord> aRecords, std::int64_t aEnd)
 {
   this->membership->Loop().Post([this, records = std::move(aRecords), aEnd] {
-    this->endpoints->OnWhole(records, aEnd);
-    // That there is none yet is a picture, too
+    this->endpointReplicator->OnFullRead(records, aEnd);
+    // An empty list is a valid snapshot as well
     if (!this->knowsEndpoints.exchange(true)) {
       this->PublishFleet();
     }
@@ -356,13 +362,15 @@
 void
 RelayDaemon::OnEndpointsRead(TimePoint aAsOf, std::int64_t aEnd)
 {
-  this->membership->Loop().Post([this, aAsOf, aEnd] { this->endpoints->OnRead(aAsOf, aEnd); });
+  this->membership->Loop().Post(
+    [this, aAsOf, aEnd] { this->endpointReplicator->OnReadCompleted(aAsOf, aEnd); });
 }
 
 void
 RelayDaemon::OnEndpointSource(bool aAnswers)
 {
-  this->membership->Loop().Post([this, aAnswers] { this->endpoints->OnSource(aAnswers); });
+  this->membership->Loop().Post(
+    [this, aAnswers] { this->endpointReplicator->OnSourceReachability(aAnswers); });
 }
 
 std::int64_t
@@ -384,34 +392,34 @@
 bool
 RelayDaemon::ReadsForAll() const
 {
-  return this->endpoints->IsReader();
+  return this->endpointReplicator->IsPrimaryReader();
 }
 
 bool
 RelayDaemon::IsToldOfConfigurations()
 {
-  if (this->endpoints->WatchesSource() || this->InForce() == nullptr) {
+  if (this->endpointReplicator->WatchesSource() || this->InForce() == nullptr) {
     return false;
   }
   const TimePoint now = this->clock.Now();
-  if (this->endpoints->ToldConfiguration() <= this->ConfigurationVersion()) {
+  if (this->endpointReplicator->NewestPeerConfiguration() <= this->ConfigurationVersion()) {
     this->upToDateAt = now;
   }
-  return now - this->upToDateAt <= this->settings.configurationNotice / kConfigurationPatienceParts;
+  return now - this->upToDateAt <= this->settings.configurationNotice / kConfigurationWaitDivisor;
 }
 
 Milliseconds
 RelayDaemon::EndpointPace() const
 {
-  return this->endpoints->Pace();
+  return this->endpointReplicator->ReadInterval();
 }
 
 void
 RelayDaemon::OnDaemons(std::vector<HostEntry> aDaemons)
 {
   this->membership->Loop().Post([this, daemons = std::move(aDaemons)] {
-    this->listed = daemons;
-    this->ApplyDaemons();
+    this->listedDaemons = daemons;
+    this->ApplyDaemonList();
   });
 }
 
@@ -421,14 +429,14 @@
   this->membership->Loop().Post([this, seeds = aSettings.seeds] {
     kLog.Event("reloaded", { { "seeds", seeds.size() } });
     this->seeds = seeds;
-    this->ApplyDaemons();
+    this->ApplyDaemonList();
   });
 }
 
 void
-RelayDaemon::ApplyDaemons()
+RelayDaemon::ApplyDaemonList()
 {
-  std::vector<HostEntry> all = this->listed;
+  std::vector<HostEntry> all = this->listedDaemons;
   for (const SocketAddress& seed : this->seeds) {
     const bool isListed = std::any_of(
       all.begin(), all.end(), [&](const HostEntry& aHost) { return aHost.id == seed.address; });
@@ -443,16 +451,16 @@
     }
   }
   this->membership->ApplyHostList(std::move(all));
-  this->CountDaemons();
+  this->UpdateDaemonCount();
 }
 
 void
-RelayDaemon::CountDaemons()
+RelayDaemon::UpdateDaemonCount()
 {
   const int live = this->LiveDaemons();
-  const bool isYoung = this->clock.Now() < this->startedAt + kListBelieved;
-  const int listedCount = isYoung ? static_cast<int>(this->listed.size()) : 0;
-  if (live > 1 || !this->listed.empty()) {
+  const bool isStarting = this->clock.Now() < this->startedAt + kDaemonListValidity;
+  const int listedCount = isStarting ? static_cast<int>(this->listedDaemons.size()) : 0;
+  if (live > 1 || !this->listedDaemons.empty()) {
     this->market->admission.SetDaemons(std::max(live, listedCount));
   }
 }
@@ -460,7 +468,7 @@
 void
 RelayDaemon::PublishFleet()
 {
-  auto snapshot = std::make_shared<FleetSnapshot>(*this->endpoints->Snapshot());
+  auto snapshot = std::make_shared<FleetSnapshot>(*this->endpointReplicator->Snapshot());
   if (const RelayConfigurationPtr current = this->InForce()) {
     for (Endpoint& endpoint : snapshot->endpoints) {
       const auto service =
@@ -484,39 +492,39 @@
     return;
   }
   const TimePoint begun = this->clock.Now();
-  kLog.Event("draining", { { "open", this->callers->OpenExchanges() } });
-  this->callers->CloseAfterAnswers();
-  this->duties->Drain();
-  this->load->Drain();
-  this->keepers->Drain();
-  this->loans->OnKeepers();
+  kLog.Event("draining", { { "open", this->callerServer->OpenExchanges() } });
+  this->callerServer->CloseAfterAnswers();
+  this->leaderTasks->Drain();
+  this->loadExchange->Drain();
+  this->keyOwners->Drain();
+  this->limitTokenExchange->OnKeepers();
   this->membership->Drain();
 
-  // The balancer still sends callers for a moment
-  std::this_thread::sleep_for(kBalancerNotice);
-  this->refusing = true;
-  this->callers->StopListening();
-  this->WaitForAnswers(begun + this->settings.grace - kEndMargin);
-  if (this->callers->OpenExchanges() > 0) {
-    kLog.Event(LogLevel::Warning, "abandons", { { "open", this->callers->OpenExchanges() } });
+  // The load balancer sends callers until it has noticed the drain
+  std::this_thread::sleep_for(kBalancerDetectionTime);
+  this->rejectsRequests = true;
+  this->callerServer->StopListening();
+  this->WaitForResponses(begun + this->settings.grace - kResponseFlushMargin);
+  if (this->callerServer->OpenExchanges() > 0) {
+    kLog.Event(LogLevel::Warning, "abandons", { { "open", this->callerServer->OpenExchanges() } });
     this->relay->AbandonAll();
-    this->WaitForAnswers(begun + this->settings.grace - kEndMargin / 2);
+    this->WaitForResponses(begun + this->settings.grace - kResponseFlushMargin / 2);
   }
-  kLog.Event("drained", { { "open", this->callers->OpenExchanges() } });
+  kLog.Event("drained", { { "open", this->callerServer->OpenExchanges() } });
 }
 
 void
-RelayDaemon::WaitForAnswers(TimePoint aUntil)
+RelayDaemon::WaitForResponses(TimePoint aUntil)
 {
-  while (this->callers->OpenExchanges() > 0 && this->clock.Now() < aUntil) {
-    std::this_thread::sleep_for(kDrainPoll);
+  while (this->callerServer->OpenExchanges() > 0 && this->clock.Now() < aUntil) {
+    std::this_thread::sleep_for(kDrainPollInterval);
   }
 }
 
 void
 RelayDaemon::Stop()
 {
-  for (auto* server : { &this->callers, &this->readiness, &this->metrics }) {
+  for (auto* server : { &this->callerServer, &this->readinessServer, &this->metricsServer }) {
     if (*server != nullptr) {
       (*server)->Stop();
     }
--- a/Lagoonward/Daemon/RelayDaemon.h
+++ b/Lagoonward/Daemon/RelayDaemon.h
@@ -20,8 +20,8 @@
 
 namespace lagoonward {
 
-/// One daemon that relays requests: puts its services together and carries news between them. What
-/// happens outside is told to it through the On...() methods, which are safe from any thread.
+/// One daemon that relays requests: creates its services and passes events between them. Events from outside enter
+/// through the On...() methods, which are safe from any thread.
 class RelayDaemon
 {
 public:
@@ -34,75 +34,79 @@
   /// Binds all addresses and starts all threads. Errors: InvalidSettings.
   [[nodiscard]] Result<void> Start(RelayPorts aPorts);
 
-  /// Turns unready, answers all that was taken, and returns before the grace period ends.
+  /// Reports unready, answers all accepted requests, and returns before the grace period ends.
   void Drain();
   void Stop();
 
-  /// A configuration as it was published. Older ones than the one in force change nothing.
+  /// A configuration was read, with its text as it was published. One older than the configuration in force has no
+  /// effect.
   void OnConfiguration(const std::string& aText);
 
-  /// A record of an endpoint was read. See EndpointNews, also for what follows.
+  /// A record of an endpoint was read. See EndpointNews for this and the next three.
   void OnEndpointRecord(EndpointRecord aRecord);
-  /// All records of endpoints were read.
+  /// All existing records of endpoints were read.
   void OnEndpointRecords(std::vector<EndpointRecord> aRecords, std::int64_t aEnd);
-  /// The endpoints' source has answered a read that began at a time of the clock's BootNow(), up to a version.
+  /// The endpoints' source has answered a read.
+  /// @param aAsOf  BootNow() at which the read began
+  /// @param aEnd   all records below this version have been passed
   void OnEndpointsRead(TimePoint aAsOf, std::int64_t aEnd);
-  /// Whether the endpoints' source is reachable.
+  /// The endpoints' source has stopped answering, or answers again.
   void OnEndpointSource(bool aAnswers);
-  /// How long to wait between two reads of the endpoints' records, as things stand.
+  /// Interval between two reads of the endpoints' records in the current state.
   [[nodiscard]] Milliseconds EndpointPace() const;
 
-  /// Whether the daemons that live are known, as far as can be told here: it has heard of some, and of each where it
-  /// stands.
+  /// Whether the live daemons are known, as far as this daemon can tell: its view contains other daemons, and the
+  /// failure domain of each.
   [[nodiscard]] bool KnowsDaemons() const;
 
-  /// Whether this daemon reads the sources for all others.
+  /// Whether this daemon is the primary reader, which reads the sources for all daemons.
   [[nodiscard]] bool ReadsForAll() const;
 
-  /// Whether configurations come from other daemons, so that this one need not ask for them. Called by one thread.
+  /// Whether other daemons send the configurations, so that this one need not poll for them. To be called by one
+  /// thread.
   [[nodiscard]] bool IsToldOfConfigurations();
 
-  /// All daemons that are known outside, beside the seeds of the settings.
+  /// All daemons that are listed outside; the seeds of the settings are added to them.
   void OnDaemons(std::vector<HostEntry> aDaemons);
 
-  /// Settings that changed while it runs: new seeds are taken in, the rest waits for a restart.
+  /// The settings have changed at runtime: new seeds are applied at once, other changes need a restart.
   void OnSettings(const RelayDaemonSettings& aSettings);
 
-  /// What is in force; null before the first.
+  /// The configuration in force; null before the first.
   [[nodiscard]] RelayConfigurationPtr InForce() const;
 
-  /// What this daemon believes now, for its metrics.
+  /// Current state of this daemon, for its metrics.
   [[nodiscard]] RelayState State() const;
 
-  /// Daemons of the deployment that are thought to live, this one included.
+  /// Number of daemons of the deployment that the membership regards as live, this one included.
   [[nodiscard]] int LiveDaemons() const;
 
-  /// Whether callers should be sent here.
+  /// Whether the load balancer should send callers to this daemon.
   [[nodiscard]] bool IsReady() const;
 
-  /// The port for callers, once started: that of the settings, or the one that was free where they say 0.
-  [[nodiscard]] std::uint16_t CallerPort() const { return this->callers->Port(); }
+  /// The port for callers, once started: that of the settings, or the one that the system chose if they have 0.
+  [[nodiscard]] std::uint16_t CallerPort() const { return this->callerServer->Port(); }
 
   [[nodiscard]] const RelayDaemonSettings& Settings() const { return this->settings; }
 
 private:
   [[nodiscard]] Result<void> BuildMembership();
-  void BuildDuties();
+  void BuildLeaderTasks();
   void BuildServers();
   void HandleCall(HttpRequest aRequest, const HttpExchangePtr& aExchange);
-  [[nodiscard]] bool TakeConfiguration(const std::string& aText, bool aFromPeer);
+  [[nodiscard]] bool ApplyConfiguration(const std::string& aText, bool aFromPeer);
   void PublishFleet();
-  void ApplyDaemons();
-  /// Tells admission how many daemons may share clients' limits.
-  void CountDaemons();
+  void ApplyDaemonList();
+  /// Passes the number of daemons that may share clients' limits to the admission.
+  void UpdateDaemonCount();
   /// Version in force, or -1 before the first.
   [[nodiscard]] std::int64_t ConfigurationVersion() const;
-  void WaitForAnswers(TimePoint aUntil);
+  void WaitForResponses(TimePoint aUntil);
 
   RelayDaemonSettings settings;
   const Clock& clock;
   RelayPorts ports;
-  MarketDirectory markets; ///< Holds one, for the decisions shared with other requests.
+  MarketDirectory markets; ///< Contains a single market, with the decision logic of other requests.
   MarketPtr market;
   FleetStore fleet;
   RelayReporter reporter;
@@ -110,27 +114,28 @@
   MembershipService* membership = nullptr;
   RelayService* relay = nullptr;
   UsageCounter usage;
-  DutyService* duties = nullptr;
-  std::unique_ptr<LoadExchange> load;
-  std::unique_ptr<KeeperDirectory> keepers;
-  std::unique_ptr<LimitLoans> loans;
-  std::unique_ptr<CrashExchange> crashes;
-  std::unique_ptr<PermitExchange> permits;
-  std::unique_ptr<EndpointNews> endpoints;
-  std::unique_ptr<HttpServer> callers;
-  std::unique_ptr<HttpServer> readiness;
-  std::unique_ptr<HttpServer> metrics;
-
-  RelayConfigurationPtr inForce; ///< Read and written with std::atomic_load and std::atomic_store.
+  DutyService* leaderTasks = nullptr;
+  std::unique_ptr<LoadExchange> loadExchange;
+  std::unique_ptr<KeeperDirectory> keyOwners;
+  std::unique_ptr<LimitLoans> limitTokenExchange;
+  std::unique_ptr<CrashExchange> crashExchange;
+  std::unique_ptr<PermitExchange> permitExchange;
+  std::unique_ptr<EndpointNews> endpointReplicator;
+  std::unique_ptr<HttpServer> callerServer;
+  std::unique_ptr<HttpServer> readinessServer;
+  std::unique_ptr<HttpServer> metricsServer;
+
+  RelayConfigurationPtr
+    configurationInForce; ///< Read and written with std::atomic_load and std::atomic_store.
   std::atomic<bool> knowsEndpoints{ false };
   std::atomic<bool> draining{ false };
-  std::atomic<bool> refusing{ false }; ///< Too late in the drain to take a request.
-  std::string textInForce;             ///< As it was published. Control thread only.
-  std::vector<HostEntry> listed;       ///< Daemons, as told from outside. Control thread only.
-  std::string incarnation;             ///< Names this run of this daemon.
+  std::atomic<bool> rejectsRequests{ false }; ///< The drain has no time left for new requests.
+  std::string configurationTextInForce;       ///< As published. Control thread only.
+  std::vector<HostEntry> listedDaemons;       ///< From OnDaemons(). Control thread only.
+  std::string incarnation;                    ///< Identifies this run of this daemon.
   TimePoint startedAt;
   TimePoint
-    upToDateAt; ///< When no newer configuration was told of last. IsToldOfConfigurations() only.
+    upToDateAt; ///< Last time without a newer configuration at a peer. IsToldOfConfigurations() only.
   std::vector<SocketAddress> seeds; ///< As in the newest settings. Control thread only.
 };
 
--- a/Lagoonward/Daemon/RelayPorts.h
+++ b/Lagoonward/Daemon/RelayPorts.h
@@ -11,14 +11,14 @@
 
 namespace lagoonward {
 
-/// How callers are spoken to, as functions of one CallerDialect.
+/// Decodes requests of callers and encodes errors for them, by the functions of one CallerDialect.
 struct CallerLanguage
 {
   std::function<Result<RelayCall>(HttpRequest)> read;
   std::function<RelayReply(const Error&)> writeError;
 };
 
-/// Makes a dialect's functions available to code that is compiled once for all dialects.
+/// Type-erases a dialect, for code that is compiled once for all dialects.
 template<CallerDialect Dialect>
 [[nodiscard]] CallerLanguage
 CallerLanguageOf(Dialect aDialect)
@@ -27,7 +27,8 @@
            [aDialect](const Error& aError) { return aDialect.WriteError(aError); } };
 }
 
-/// What a relay daemon needs to be told of the outside: who speaks how, and how a configuration reads.
+/// Dependencies of a relay daemon on the platform: the dialects of callers and endpoints, the decoders of
+/// configurations and endpoint records, and the ports of the leader tasks.
 struct RelayPorts
 {
   CallerLanguage callers;
--- a/Lagoonward/Daemon/RelayReporter.cpp
+++ b/Lagoonward/Daemon/RelayReporter.cpp
@@ -10,9 +10,9 @@
 
 const Log kLog("relay");
 
-/// Seconds; from a plain call's answer to the end of a caller's patience.
-const prometheus::Histogram::BucketBoundaries kLatencies{ 0.01, 0.025, 0.05, 0.1, 0.25, 0.5,
-                                                          1,    2,     4,    8,   15 };
+/// In seconds: from the response time of a plain call to the longest timeout of a caller.
+const prometheus::Histogram::BucketBoundaries kLatencyBuckets{ 0.01, 0.025, 0.05, 0.1, 0.25, 0.5,
+                                                               1,    2,     4,    8,   15 };
 
 } // namespace
 
@@ -34,13 +34,13 @@
 }
 
 void
-RelayReporter::OnBeganDo(BeganHandler aHandler)
+RelayReporter::SetBeganHandler(BeganHandler aHandler)
 {
   this->onBegan = std::move(aHandler);
 }
 
 void
-RelayReporter::OnSentDo(SentHandler aHandler)
+RelayReporter::SetSentHandler(SentHandler aHandler)
 {
   this->onSent = std::move(aHandler);
 }
@@ -54,20 +54,20 @@
 void
 RelayReporter::SetGauge(const std::string& aName, const std::string& aHelp, double aValue)
 {
-  // The same family and gauge each time
+  // Registering the same name again returns the existing family and gauge
   prometheus::BuildGauge().Name(aName).Help(aHelp).Register(this->registry).Add({}).Set(aValue);
 }
 
 void
-RelayReporter::SetEndpoints(const RelayState& aState)
+RelayReporter::SetEndpointGauges(const RelayState& aState)
 {
   auto& family = prometheus::BuildGauge()
                    .Name("lagoonward_relay_endpoints")
                    .Help("Endpoints known, by service and state.")
                    .Register(this->registry);
-  for (const auto& [service, tally] : aState.endpoints) {
-    family.Add({ { "service", service }, { "state", "live" } }).Set(tally.live);
-    family.Add({ { "service", service }, { "state", "leaving" } }).Set(tally.leaving);
+  for (const auto& [service, counts] : aState.endpoints) {
+    family.Add({ { "service", service }, { "state", "live" } }).Set(counts.live);
+    family.Add({ { "service", service }, { "state", "leaving" } }).Set(counts.leaving);
   }
 }
 
@@ -81,10 +81,10 @@
   this->SetGauge("lagoonward_relay_open_requests", "Callers that wait for an answer.",
                  aState.openRequests);
   this->SetGauge("lagoonward_relay_leads", "1 while this daemon holds the lease.",
-                 aState.leads ? 1 : 0);
+                 aState.isLeader ? 1 : 0);
   this->SetGauge("lagoonward_relay_reads_endpoints",
                  "1 while this daemon reads endpoints' records for all.",
-                 aState.readsEndpoints ? 1 : 0);
+                 aState.isEndpointReader ? 1 : 0);
   this->SetGauge("lagoonward_relay_endpoint_records_refused",
                  "Records of endpoints so far that could not be read.",
                  static_cast<double>(aState.refusedRecords));
@@ -96,7 +96,7 @@
   this->SetGauge("lagoonward_relay_limited_endpoints",
                  "Endpoints that say how many requests they take from all daemons.",
                  aState.limitedEndpoints);
-  this->SetEndpoints(aState);
+  this->SetEndpointGauges(aState);
   return prometheus::TextSerializer().Serialize(this->registry.Collect());
 }
 
@@ -137,7 +137,7 @@
 RelayReporter::OnBegan(const RelayCall& aCall)
 {
   const std::chrono::duration<double> age = this->clock.Now() - aCall.receivedAt;
-  this->firstByte.Add({ { "route", aCall.route->name } }, kLatencies).Observe(age.count());
+  this->firstByte.Add({ { "route", aCall.route->name } }, kLatencyBuckets).Observe(age.count());
   if (this->onBegan) {
     this->onBegan(aCall);
   }
--- a/Lagoonward/Daemon/RelayReporter.h
+++ b/Lagoonward/Daemon/RelayReporter.h
@@ -16,47 +16,47 @@
 
 namespace lagoonward {
 
-/// Endpoints of one service, counted by state.
-struct EndpointTally
+/// Number of endpoints of one service, by state.
+struct EndpointCounts
 {
   int live = 0;
   int leaving = 0;
 };
 
-/// What a daemon believes at the moment at which its metrics are read.
+/// State of a daemon when its metrics are read.
 struct RelayState
 {
-  std::int64_t configurationVersion = 0;          ///< Zero while none is in force.
-  std::map<std::string, EndpointTally> endpoints; ///< By service.
-  int daemons = 0;                                ///< That are thought to live, this one included.
-  int openRequests = 0;                           ///< Callers that wait for an answer here.
-  bool leads = false;                             ///< Whether this daemon holds the lease.
-  std::int64_t refusedRecords = 0; ///< Records of endpoints so far that could not be read.
-  bool readsEndpoints = false;     ///< Whether it reads endpoints' records for all.
-  Milliseconds endpointsAge{ 0 };  ///< How old the picture of the endpoints is.
-  int poisonedRequests = 0;        ///< Requests that are kept from all endpoints.
-  int limitedEndpoints = 0;        ///< Endpoints that have named a limit.
+  std::int64_t configurationVersion = 0;           ///< Zero while none is in force.
+  std::map<std::string, EndpointCounts> endpoints; ///< By service.
+  int daemons = 0;                                 ///< Regarded as live, this one included.
+  int openRequests = 0;            ///< Callers that wait for a response from this daemon.
+  bool isLeader = false;           ///< Whether this daemon holds the lease.
+  std::int64_t refusedRecords = 0; ///< Endpoint records so far that could not be decoded.
+  bool isEndpointReader = false;   ///< Whether it reads the endpoint records for all daemons.
+  Milliseconds endpointsAge{ 0 };  ///< Age of the snapshot of the endpoints.
+  int poisonedRequests = 0;        ///< Requests that are sent to no endpoint, as they crash them.
+  int limitedEndpoints = 0;        ///< Endpoints that have reported a limit of requests.
 };
 
-/// Writes down what happens to relayed requests: a log line for each decision, counters and latencies.
+/// Reports what happens to relayed requests: a log event for each decision, and metrics of counts and latencies.
 class RelayReporter final : public RelayObserver
 {
 public:
-  /// Told of each request that an endpoint has begun to run.
+  /// Called for each request that an endpoint has begun to run.
   using BeganHandler = std::function<void(const RelayCall&)>;
 
-  /// Told of each send and what it asks of the endpoint.
+  /// Called for each send, with the work that it causes at the endpoint.
   using SentHandler = std::function<void(const RelayCall&, const EngineWork&)>;
 
   explicit RelayReporter(const Clock& aClock);
 
-  /// Set before the first request.
-  void OnBeganDo(BeganHandler aHandler);
-  void OnSentDo(SentHandler aHandler);
-  /// How old the picture of the endpoints is, for what is written down of each send.
+  /// The handlers must be set before the first request.
+  void SetBeganHandler(BeganHandler aHandler);
+  void SetSentHandler(SentHandler aHandler);
+  /// Sets the function that returns the age of the snapshot of the endpoints, for the log event of each send.
   void SetEndpointsAge(std::function<Milliseconds()> aAge);
 
-  /// The metrics page, in Prometheus' text form.
+  /// The metrics page in the Prometheus text format.
   [[nodiscard]] std::string MetricsText(const RelayState& aState);
 
   void OnAccepted(const RelayCall& aCall) override;
@@ -71,7 +71,7 @@
 private:
   [[nodiscard]] std::int64_t AgeOf(const RelayCall& aCall) const;
   void SetGauge(const std::string& aName, const std::string& aHelp, double aValue);
-  void SetEndpoints(const RelayState& aState);
+  void SetEndpointGauges(const RelayState& aState);
 
   const Clock& clock;
   BeganHandler onBegan;
--- a/Lagoonward/Daemon/RelayTuning.cpp
+++ b/Lagoonward/Daemon/RelayTuning.cpp
@@ -4,15 +4,15 @@
 
 namespace {
 
-/// A second of answer time against a second of engine time.
+/// A second of answer time is worth as much as a second of engine time.
 constexpr double kLatencyWorth = 1;
 
-/// A session's prompt is read at its home endpoint unless waiting there costs more than this many times
-/// its reading.
+/// A session's prompt is prefilled at its home endpoint unless waiting there costs more than this many times its
+/// prefill.
 constexpr double kHomePull = 12;
 
-/// A short lease: usage is due within ten seconds, so a dead leader must be succeeded in about five. It
-/// costs three appends in four seconds in all: as few as leave time for a second try.
+/// A short lease: usage is due within ten seconds, so another daemon must take over from a failed leader in about five.
+/// The lease costs three appends in four seconds in total, the fewest that leave time for a second attempt.
 constexpr LeaseSettings kLease{ .duration = Milliseconds(3000),
                                 .renewAfter = Milliseconds(1300),
                                 .handover = Milliseconds(700),
@@ -22,16 +22,16 @@
 constexpr Milliseconds kLeaseWait{ 900 };
 constexpr Milliseconds kLeaseRetryPause{ 200 };
 
-/// Those that stand too far behind to lead look seldom: who may lead they know by rank.
+/// Daemons whose rank is too low to become leader poll the lease rarely: they know the candidates by rank.
 constexpr Milliseconds kSpectatorPause{ 20'000 };
 
-/// Beyond the time in which orders may not go to and fro, for the call itself to arrive.
+/// Added to the time in which orders of two leaders must not alternate, for the call itself to arrive.
 constexpr Milliseconds kQuietMargin{ 300 };
 
-/// Parts of what is tolerated over a client's limit that admission hands out. The rest is for what was admitted at
-/// different moments and reaches endpoints at one.
-constexpr double kToleranceUsed = 0.8;
-constexpr double kSlackUsed = 0.5;
+/// Shares of the tolerated excess over a client's limit that admission gives out. The rest covers requests that were
+/// admitted at different times and reach endpoints at the same time.
+constexpr double kToleranceShare = 0.8;
+constexpr double kSlackShare = 0.5;
 
 } // namespace
 
@@ -39,33 +39,33 @@
 MarketSettingsOf(const RelayDaemonSettings& aSettings)
 {
   MarketSettings market;
-  // Sizing sees to it that no endpoint idles, so requests need not be packed
+  // Sizing ensures that no endpoint is idle, so requests need not be packed
   market.routing.packing = 0;
   market.routing.latencyWorth = kLatencyWorth;
   market.routing.ranksPreempt = false;
   market.routing.homePull = kHomePull;
-  // Half of what may be repeated beyond the ratio is saved up, the other half comes with time, so that
-  // no window holds more than both
+  // Half of the retries that are allowed beyond the ratio is the capacity of the budget, the other half is refilled
+  // over time, so that no window contains more than both
   const double window = static_cast<double>(aSettings.retryWindow.count());
   market.retries.perSuccess = aSettings.retryRatio * 0.75;
   market.retries.capacity = aSettings.retrySlack / 2;
   market.retries.perSecond = aSettings.retrySlack / 2 / window / 2;
-  market.admission.limitTolerance = aSettings.limitTolerance * kToleranceUsed;
-  market.admission.limitSlack = aSettings.limitSlack * kSlackUsed;
+  market.admission.limitTolerance = aSettings.limitTolerance * kToleranceShare;
+  market.admission.limitSlack = aSettings.limitSlack * kSlackShare;
   market.admission.pooled = true;
   return market;
 }
 
 DutySettings
-DutySettingsOf(const RelayDaemonSettings& aSettings)
+LeaderTaskSettingsOf(const RelayDaemonSettings& aSettings)
 {
-  DutySettings duty;
-  duty.quiet = aSettings.leaseQuiet + kQuietMargin;
-  duty.lease.leaseWait = kLeaseWait;
-  duty.lease.spectatorPause = kSpectatorPause;
-  duty.lease.leaseRetryPause = kLeaseRetryPause;
-  duty.lease.lease = kLease;
-  return duty;
+  DutySettings leaderTask;
+  leaderTask.quiet = aSettings.leaseQuiet + kQuietMargin;
+  leaderTask.lease.leaseWait = kLeaseWait;
+  leaderTask.lease.spectatorPause = kSpectatorPause;
+  leaderTask.lease.leaseRetryPause = kLeaseRetryPause;
+  leaderTask.lease.lease = kLease;
+  return leaderTask;
 }
 
 } // namespace lagoonward
--- a/Lagoonward/Daemon/RelayTuning.h
+++ b/Lagoonward/Daemon/RelayTuning.h
@@ -6,12 +6,12 @@
 
 namespace lagoonward {
 
-/// How a relay daemon's market decides: routing, admission and retries on the users' platform.
+/// Settings of a relay daemon's market: routing, admission and retries on the users' platform.
 [[nodiscard]] MarketSettings
 MarketSettingsOf(const RelayDaemonSettings& aSettings);
 
-/// How its duties are done: lease, reports, quiet time.
+/// Settings of a relay daemon's leader tasks: lease, reports, and quiet time after a change of leader.
 [[nodiscard]] DutySettings
-DutySettingsOf(const RelayDaemonSettings& aSettings);
+LeaderTaskSettingsOf(const RelayDaemonSettings& aSettings);
 
 } // namespace lagoonward
--- a/Lagoonward/Daemon/StatusPage.cpp
+++ b/Lagoonward/Daemon/StatusPage.cpp
@@ -73,8 +73,8 @@
     text["name"] = aEndpoint.name;
   }
   if (aEndpoint.goneAfter) {
-    const auto left = *aEndpoint.goneAfter - aClock.Now();
-    text["gone_in_ms"] = std::chrono::duration_cast<Milliseconds>(left).count();
+    const auto timeLeft = *aEndpoint.goneAfter - aClock.Now();
+    text["gone_in_ms"] = std::chrono::duration_cast<Milliseconds>(timeLeft).count();
   }
   if (aEndpoint.load) {
     text["load"] = DescribeLoad(*aEndpoint.load, aClock.WallNow());
--- a/Lagoonward/Daemon/StatusPage.h
+++ b/Lagoonward/Daemon/StatusPage.h
@@ -11,7 +11,7 @@
 
 namespace lagoonward {
 
-/// What `/status` is made from. All outlive the page.
+/// Sources of the data of `/status`. All must outlive every call of MakeStatusPage().
 struct StatusSources
 {
   const DaemonSettings& settings;
--- a/Lagoonward/Daemon/UsageReporter.cpp
+++ b/Lagoonward/Daemon/UsageReporter.cpp
@@ -38,7 +38,7 @@
       return;
     }
   }
-  this->ForgetBefore(oldest);
+  this->ExpireBefore(oldest);
 }
 
 bool
@@ -52,7 +52,7 @@
   if (!this->ports.isDue(since)) {
     return true;
   }
-  if (!this->WriteDown(aWindow)) {
+  if (!this->EnsureRecorded(aWindow)) {
     return false;
   }
   const UsageRecord& record = *this->ledger.Find(aWindow);
@@ -74,12 +74,12 @@
 }
 
 bool
-UsageReporter::WriteDown(std::int64_t aWindow)
+UsageReporter::EnsureRecorded(std::int64_t aWindow)
 {
-  if (!this->knowsLedger && !this->ReadLog()) {
+  if (!this->isLedgerCurrent && !this->ReadLog()) {
     return false;
   }
-  this->knowsLedger = true;
+  this->isLedgerCurrent = true;
   if (this->ledger.Find(aWindow) != nullptr) {
     return true;
   }
@@ -89,17 +89,17 @@
   const std::string text = WriteUsageRecord(record);
   const auto offset = this->ports.log->Append(this->ports.stream, text);
   if (offset && offset.value() == this->ledger.NextOffset()) {
-    // Nobody has written before it, so it is as good as read
+    // The record directly follows the last one read, so no other one precedes it and it need not be read back
     this->ledger.Apply(offset.value(), text);
     return true;
   }
-  // What counts is what is read back, whatever became of the append
-  this->knowsLedger = false;
+  // The first record in the log is authoritative, whether or not this append succeeded, so the log is read again
+  this->isLedgerCurrent = false;
   if (!offset) {
     kLog.Event(LogLevel::Warning, "usage_append_unanswered", { { "window", aWindow } });
   }
-  this->knowsLedger = this->ReadLog();
-  return this->knowsLedger && this->ledger.Find(aWindow) != nullptr;
+  this->isLedgerCurrent = this->ReadLog();
+  return this->isLedgerCurrent && this->ledger.Find(aWindow) != nullptr;
 }
 
 bool
@@ -122,32 +122,32 @@
 }
 
 void
-UsageReporter::ForgetBefore(std::int64_t aWindow)
+UsageReporter::ExpireBefore(std::int64_t aWindow)
 {
-  // One of those that may lead says it for all
-  if (this->forgottenBefore > 0 && this->ports.mayAct()) {
-    for (std::int64_t window = this->forgottenBefore; window < aWindow; ++window) {
-      this->NoteUnreported(window);
+  // Only the leader logs it, as the counts are the sums over all daemons
+  if (this->expiredBefore > 0 && this->ports.mayAct()) {
+    for (std::int64_t window = this->expiredBefore; window < aWindow; ++window) {
+      this->LogUnreported(window);
     }
   }
-  this->forgottenBefore = aWindow;
+  this->expiredBefore = aWindow;
   this->ports.forget(aWindow);
   this->ledger.Forget(aWindow);
   std::erase_if(this->reported, [&](std::int64_t aEach) { return aEach < aWindow; });
 }
 
 void
-UsageReporter::NoteUnreported(std::int64_t aWindow) const
+UsageReporter::LogUnreported(std::int64_t aWindow) const
 {
   const std::int64_t counted = SumOf(this->ports.countsOf(aWindow));
   const UsageRecord* record = this->ledger.Find(aWindow);
-  const std::int64_t written = record == nullptr ? 0 : SumOf(record->counts);
-  if (counted <= written) {
+  const std::int64_t recorded = record == nullptr ? 0 : SumOf(record->counts);
+  if (counted <= recorded) {
     return;
   }
   const bool isLost = record == nullptr;
   kLog.Event(LogLevel::Warning, isLost ? "usage_lost" : "usage_short",
-             { { "window", aWindow }, { "counted", counted }, { "written_down", written } });
+             { { "window", aWindow }, { "counted", counted }, { "written_down", recorded } });
 }
 
 } // namespace lagoonward
--- a/Lagoonward/Daemon/UsageReporter.h
+++ b/Lagoonward/Daemon/UsageReporter.h
@@ -10,58 +10,60 @@
 
 namespace lagoonward {
 
-/// What a UsageReporter works with.
+/// Dependencies of a UsageReporter.
 struct UsageReporterPorts
 {
-  LogService* log = nullptr; ///< Holds the records of what is reported. Must outlive the reporter.
-  std::string stream;        ///< In which they stand.
-  int page = 0;              ///< Records read at once.
+  LogService* log = nullptr; ///< Contains the records of reported usage. Must outlive the reporter.
+  std::string stream;        ///< Stream of the log that contains the records.
+  int page = 0;              ///< Records per read.
 
-  /// Reports a window outside. Blocks. Errors: StaleFencing when a higher number was seen.
+  /// Sends the report of a window to the platform. Blocks. Errors: StaleFencing if the platform has seen a higher
+  /// number.
   std::function<Result<void>(const UsageRecord&, Offset aFencing)> report;
-  /// The fencing number if this daemon may act now.
+  /// The fencing number, if this daemon may act as the leader now.
   std::function<std::optional<Offset>()> mayAct;
-  /// A report was refused, as another daemon leads.
+  /// Called when a report was refused because another daemon is the leader.
   std::function<void(Offset aFencing)> onRefused;
 
-  /// What all daemons count for a window, as far as it is known here.
+  /// Sum of the counts of all daemons for a window, as far as this daemon knows them.
   std::function<UsageCounts(std::int64_t aWindow)> countsOf;
-  /// Whether a window that ended so long ago can be reported now.
+  /// Whether a window that ended this long ago can be reported now.
   std::function<bool(Milliseconds aSinceEnd)> isDue;
-  /// Windows before that one are not asked for any more.
+  /// Called when the counts of windows before the given one are no longer needed.
   std::function<void(std::int64_t aBefore)> forget;
 };
 
-/// Reports the usage of each window once, on behalf of all daemons: what is to be reported is written down in a log first, and
-/// the first record of a window counts, so that no two reports of it differ.
+/// Reports the usage of each window once, on behalf of all daemons. The counts are appended to a log before they are
+/// reported, and the first record of a window in the log is authoritative, so that no two reports of a window differ.
 ///
-/// A window is reported as soon as it is due and for kUsageReportable after its end: this daemon may have stood still, or
-/// nobody may have led meanwhile. What is known then and cannot be reported any more is written to the log
-/// (`usage_lost`, `usage_short`). Lives on one thread.
+/// A window can be reported from when it is due until kUsageReportable after its end, as this daemon may have been
+/// suspended or there may have been no leader in the meantime. Usage that is known then and can no longer be reported
+/// is logged (`usage_lost`, `usage_short`). To be used by one thread.
 class UsageReporter
 {
 public:
   UsageReporter(UsageReporterPorts aPorts, const UsageCounter& aUsage);
 
-  /// Reports what is due. To be called some times a second by every daemon that may lead.
+  /// Reports all windows that are due. To be called several times a second by every daemon that may become leader.
   void Step();
 
 private:
   [[nodiscard]] bool ReadLog();
-  [[nodiscard]] bool WriteDown(std::int64_t aWindow);
-  /// @return false where nothing further can be reported now
+  /// Ensures that the ledger contains the record of a window, and appends it to the log otherwise.
+  /// @return whether the ledger contains it
+  [[nodiscard]] bool EnsureRecorded(std::int64_t aWindow);
+  /// @return false if no further window can be reported now
   [[nodiscard]] bool Report(std::int64_t aWindow);
-  void ForgetBefore(std::int64_t aWindow);
-  /// Says what of a window's usage no report has told, now that none can.
-  void NoteUnreported(std::int64_t aWindow) const;
+  void ExpireBefore(std::int64_t aWindow);
+  /// Logs usage of a window that no report contains, once it can no longer be reported.
+  void LogUnreported(std::int64_t aWindow) const;
 
   UsageReporterPorts ports;
   const UsageCounter& usage;
   UsageLedger ledger;
-  bool knowsLedger =
-    false; ///< The log was read to its end, and nothing stands in it that is not in `ledger`.
+  bool isLedgerCurrent = false; ///< Whether `ledger` contains all records of the log.
   std::set<std::int64_t> reported;
-  std::int64_t forgottenBefore = 0; ///< Zero before the first step.
+  std::int64_t expiredBefore = 0; ///< Zero before the first step.
 };
 
 } // namespace lagoonward
--- a/UnitTests/Daemon/ConfigurationShareTests.cpp
+++ b/UnitTests/Daemon/ConfigurationShareTests.cpp
@@ -8,25 +8,25 @@
 
 BOOST_AUTO_TEST_SUITE(ConfigurationShareTests)
 
-BOOST_AUTO_TEST_CASE(PeerReadsWhatAnotherWrites)
+BOOST_AUTO_TEST_CASE(DecodingReturnsTheEncodedConfigurationAndRejectsMalformedStates)
 {
   Configuration configuration;
   configuration.market = "vestland";
   configuration.offset = 4;
   configuration.manifest = SampleManifest("vestland");
-  SharedState state = WriteConfigurationShare(configuration, 9);
-  BOOST_TEST(IsConfigurationShare(state));
-  BOOST_TEST(MarketOfShare(state) == "vestland");
-  const auto offer = ReadConfigurationShare(state);
+  SharedState state = EncodeConfigurationState(configuration, 9);
+  BOOST_TEST(IsConfigurationState(state));
+  BOOST_TEST(MarketOfState(state) == "vestland");
+  const auto offer = DecodeConfigurationState(state);
   BOOST_REQUIRE(offer.has_value());
   BOOST_TEST(offer->through == 9);
   BOOST_TEST(offer->configuration->offset == 4);
   BOOST_TEST(offer->configuration->manifest.models.size() == configuration.manifest.models.size());
 
   state.version = 5;
-  BOOST_TEST(!ReadConfigurationShare(state).has_value());
+  BOOST_TEST(!DecodeConfigurationState(state).has_value());
   state.bytes = "{}";
-  BOOST_TEST(!ReadConfigurationShare(state).has_value());
+  BOOST_TEST(!DecodeConfigurationState(state).has_value());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/UnitTests/Daemon/EndpointNewsTests.cpp
+++ b/UnitTests/Daemon/EndpointNewsTests.cpp
@@ -16,9 +16,9 @@
 
 constexpr std::string_view kKey =
   "1:000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f";
-constexpr Seconds kPatience{ 20 };
+constexpr Seconds kWaitLimit{ 20 };
 
-/// The text of a record is the endpoint's state.
+/// Decodes a record whose text is the endpoint's state.
 Result<Endpoint>
 Decode(const EndpointRecord& aRecord)
 {
@@ -32,7 +32,7 @@
   return endpoint;
 }
 
-/// One daemon with its picture of the endpoints.
+/// One daemon with its replica of the endpoints.
 struct Daemon
 {
   Daemon(const Clock& aClock, int aIndex, const std::string& aDomain,
@@ -40,10 +40,10 @@
     : clock(aClock)
     , membership(aClock, Identity(aIndex, aDomain), KeyRing::Parse(kKey, "test").value(), {},
                  [](const HostEntry&, const MembershipService::PollDone&) {})
-    , news(aSettings, membership, Identity(aIndex, aDomain).self, Hooks(), aClock)
+    , replicator(aSettings, membership, Identity(aIndex, aDomain).self, Hooks(), aClock)
   {
     BOOST_TEST_REQUIRE(this->membership.Start().has_value());
-    this->Do([this] { this->news.Start(); });
+    this->RunOnControlThread([this] { this->replicator.Start(); });
   }
 
   ~Daemon() { this->membership.Stop(); }
@@ -60,37 +60,38 @@
   {
     EndpointNewsHooks hooks;
     hooks.decode = &Decode;
-    hooks.changed = [this] { ++this->changes; };
-    hooks.configuration = [this] { return this->configuration.load(); };
+    hooks.onChanged = [this] { ++this->changeCount; };
+    hooks.configurationVersion = [this] { return this->configuration.load(); };
     return hooks;
   }
 
   template<typename Action>
-  void Do(Action aAction)
+  void RunOnControlThread(Action aAction)
   {
     this->membership.Loop().Run(aAction);
   }
 
-  /// The source answers a read that began just now.
-  void Read(std::int64_t aEnd)
+  /// The source answers a read that began now.
+  void CompleteRead(std::int64_t aEndVersion)
   {
-    this->Do([&] { this->news.OnRead(this->clock.BootNow(), aEnd); });
+    this->RunOnControlThread(
+      [&] { this->replicator.OnReadCompleted(this->clock.BootNow(), aEndVersion); });
   }
 
-  /// The same for a read of all records.
-  void ReadWhole(const std::vector<EndpointRecord>& aRecords, std::int64_t aEnd)
+  /// The source answers a full read that began now.
+  void CompleteFullRead(const std::vector<EndpointRecord>& aRecords, std::int64_t aEndVersion)
   {
-    this->Do([&] {
-      this->news.OnWhole(aRecords, aEnd);
-      this->news.OnRead(this->clock.BootNow(), aEnd);
+    this->RunOnControlThread([&] {
+      this->replicator.OnFullRead(aRecords, aEndVersion);
+      this->replicator.OnReadCompleted(this->clock.BootNow(), aEndVersion);
     });
   }
 
   [[nodiscard]] std::optional<EndpointState> StateOf(std::string_view aId)
   {
     std::optional<EndpointState> state;
-    this->Do([&] {
-      const FleetSnapshotPtr fleet = this->news.Snapshot();
+    this->RunOnControlThread([&] {
+      const FleetSnapshotPtr fleet = this->replicator.Snapshot();
       const Endpoint* endpoint = fleet->Find(aId);
       if (endpoint != nullptr) {
         state = endpoint->state;
@@ -100,10 +101,10 @@
   }
 
   const Clock& clock;
-  std::atomic<int> changes{ 0 };
+  std::atomic<int> changeCount{ 0 };
   std::atomic<std::int64_t> configuration{ -1 };
   MembershipService membership;
-  EndpointNews news;
+  EndpointNews replicator;
 };
 
 /// Four daemons of one failure domain and one of another.
@@ -119,7 +120,7 @@
         return aDaemon->membership.Peers()->peers.size() == 4;
       });
     }));
-    BOOST_TEST(this->Eventually([this] { return this->Readers().size() == 2; }));
+    BOOST_TEST(this->Eventually([this] { return this->FirstDomainDaemons().size() == 2; }));
   }
 
   Daemon& Add(int aIndex, const std::string& aDomain)
@@ -139,14 +140,14 @@
     return *this->daemons.back();
   }
 
-  /// Adds a daemon to the first failure domain that stands last there, so that it does not tell others.
-  Daemon& AddLast()
+  /// Adds a daemon to the first failure domain whose rank there is last, so that it is not an aggregator.
+  Daemon& AddNonAggregator()
   {
     for (int index = 5;; ++index) {
       const PeerInfo last = Daemon::Identity(index, "a").self;
       const PeerViewPtr view = this->daemons[0]->membership.Peers();
       const AggregationPlan plan = MakeAggregationPlan(last, true, *view, {});
-      // The view is the first daemon's, which is not in it
+      // The view is the first daemon's own, which does not contain that daemon
       if (!plan.IsAggregator(last.Key()) && plan.own.size() == 2) {
         return this->Add(index, "a");
       }
@@ -157,7 +158,7 @@
   bool Eventually(Condition aCondition)
   {
     constexpr Milliseconds kStep{ 10 };
-    for (Milliseconds waited{ 0 }; waited < kPatience; waited += kStep) {
+    for (Milliseconds waited{ 0 }; waited < kWaitLimit; waited += kStep) {
       if (aCondition()) {
         return true;
       }
@@ -166,22 +167,23 @@
     return false;
   }
 
-  /// The daemon that reads for all.
-  Daemon& ReaderForAll()
+  /// The daemon that reads the source for the whole deployment.
+  Daemon& PrimaryReader()
   {
-    const auto found = std::find_if(this->daemons.begin(), this->daemons.end(),
-                                    [](const auto& aDaemon) { return aDaemon->news.IsReader(); });
+    const auto found =
+      std::find_if(this->daemons.begin(), this->daemons.end(),
+                   [](const auto& aDaemon) { return aDaemon->replicator.IsPrimaryReader(); });
     BOOST_REQUIRE(found != this->daemons.end());
     return **found;
   }
 
-  /// Daemons of the first failure domain that tell others, or the others of it.
-  std::vector<Daemon*> Readers(bool aTells = true)
+  /// Daemons of the first failure domain that are aggregators, or that are not.
+  std::vector<Daemon*> FirstDomainDaemons(bool aIsAggregator = true)
   {
     std::vector<Daemon*> found;
     for (int index = 0; index < 4; ++index) {
       Daemon* daemon = this->daemons[static_cast<std::size_t>(index)].get();
-      if (daemon->news.TellsOthers() == aTells) {
+      if (daemon->replicator.IsAggregator() == aIsAggregator) {
         found.push_back(daemon);
       }
     }
@@ -194,14 +196,14 @@
   std::vector<std::unique_ptr<Daemon>> daemons;
 };
 
-/// A record is read by a daemon that has read the whole before.
+/// A daemon reads one record after an empty full read.
 void
-Tell(Daemon& aDaemon, const EndpointRecord& aRecord)
+ReadRecord(Daemon& aDaemon, const EndpointRecord& aRecord)
 {
-  aDaemon.Do([&] {
-    aDaemon.news.OnWhole({}, 0);
-    aDaemon.news.OnRecord(aRecord);
-    aDaemon.news.OnRead(aDaemon.clock.BootNow(), aRecord.version + 1);
+  aDaemon.RunOnControlThread([&] {
+    aDaemon.replicator.OnFullRead({}, 0);
+    aDaemon.replicator.OnRecord(aRecord);
+    aDaemon.replicator.OnReadCompleted(aDaemon.clock.BootNow(), aRecord.version + 1);
   });
 }
 
@@ -209,364 +211,376 @@
 
 BOOST_FIXTURE_TEST_SUITE(EndpointNewsTests, Fleet)
 
-BOOST_AUTO_TEST_CASE(WhatAReaderReadsIsKnownInItsFailureDomain)
+BOOST_AUTO_TEST_CASE(RecordsReadByAnAggregatorReachItsFailureDomain)
 {
-  Tell(*this->Readers().front(), { "e1", "live", 5, false });
-  for (Daemon* daemon : this->Readers(false)) {
+  ReadRecord(*this->FirstDomainDaemons().front(), { "e1", "live", 5, false });
+  for (Daemon* daemon : this->FirstDomainDaemons(false)) {
     BOOST_TEST(this->Eventually([&] { return daemon->StateOf("e1") == EndpointState::Live; }));
   }
-  Tell(*this->Readers().front(), { "e1", "leaving", 6, false });
-  for (Daemon* daemon : this->Readers(false)) {
+  ReadRecord(*this->FirstDomainDaemons().front(), { "e1", "leaving", 6, false });
+  for (Daemon* daemon : this->FirstDomainDaemons(false)) {
     BOOST_TEST(this->Eventually([&] { return daemon->StateOf("e1") == EndpointState::Leaving; }));
   }
 }
 
-BOOST_AUTO_TEST_CASE(WhatTheReaderForAllReadsIsKnownInEveryFailureDomain)
+BOOST_AUTO_TEST_CASE(RecordsReadByThePrimaryReaderReachEveryFailureDomain)
 {
-  Daemon& reader = this->ReaderForAll();
-  Tell(reader, { "e1", "live", 5, false });
+  Daemon& reader = this->PrimaryReader();
+  ReadRecord(reader, { "e1", "live", 5, false });
   for (const auto& daemon : this->daemons) {
     BOOST_TEST(this->Eventually([&] { return daemon->StateOf("e1") == EndpointState::Live; }));
   }
-  Tell(reader, { "e1", "leaving", 6, false });
+  ReadRecord(reader, { "e1", "leaving", 6, false });
   for (const auto& daemon : this->daemons) {
     BOOST_TEST(this->Eventually([&] { return daemon->StateOf("e1") == EndpointState::Leaving; }));
   }
 }
 
-BOOST_AUTO_TEST_CASE(WhoHearsOfReadsNeedNotAskForConfigurations)
+BOOST_AUTO_TEST_CASE(ADaemonThatReceivesUpdatesDoesNotWatchTheSourceForConfigurations)
 {
-  Daemon& reader = this->ReaderForAll();
+  Daemon& reader = this->PrimaryReader();
   reader.configuration = 7;
-  Daemon& listener = *this->Readers(false).front();
-  BOOST_TEST(listener.news.WatchesSource());
-  listener.ReadWhole({}, 0);
-  BOOST_TEST(this->Eventually([&] { return listener.news.WatchesSource(); }));
+  Daemon& listener = *this->FirstDomainDaemons(false).front();
+  BOOST_TEST(listener.replicator.WatchesSource());
+  listener.CompleteFullRead({}, 0);
+  BOOST_TEST(this->Eventually([&] { return listener.replicator.WatchesSource(); }));
   BOOST_TEST(this->Eventually([&] {
-    reader.ReadWhole({}, 0);
-    return !listener.news.WatchesSource();
+    reader.CompleteFullRead({}, 0);
+    return !listener.replicator.WatchesSource();
   }));
-  // It hears the version from an aggregator of its group, which has it from the reader
-  for (Daemon* teller : this->Readers()) {
-    teller->configuration = 7;
+  // The version comes from an aggregator of its group, which has it from the primary reader
+  for (Daemon* aggregator : this->FirstDomainDaemons()) {
+    aggregator->configuration = 7;
   }
   BOOST_TEST(this->Eventually([&] {
-    reader.Read(0);
-    return listener.news.ToldConfiguration() == 7;
+    reader.CompleteRead(0);
+    return listener.replicator.NewestPeerConfiguration() == 7;
   }));
-  BOOST_TEST(reader.news.WatchesSource());
+  BOOST_TEST(reader.replicator.WatchesSource());
 }
 
-BOOST_AUTO_TEST_CASE(ADaemonThatHasJustReadListensAtOnce)
+BOOST_AUTO_TEST_CASE(ADaemonUsesTheListenerIntervalRightAfterItsFullRead)
 {
-  Daemon& reader = *this->Readers().front();
-  Daemon& listener = *this->Readers(false).front();
-  reader.Do([&] { reader.news.OnWhole({}, 0); });
-  std::this_thread::sleep_for(this->settings.repeat);
-  listener.ReadWhole({}, 0);
-  reader.Read(0);
-  BOOST_TEST(this->Eventually([&] { return listener.news.Pace() == this->settings.listenerPace; }));
+  Daemon& reader = *this->FirstDomainDaemons().front();
+  Daemon& listener = *this->FirstDomainDaemons(false).front();
+  reader.RunOnControlThread([&] { reader.replicator.OnFullRead({}, 0); });
+  std::this_thread::sleep_for(this->settings.changeRetention);
+  listener.CompleteFullRead({}, 0);
+  reader.CompleteRead(0);
+  BOOST_TEST(this->Eventually(
+    [&] { return listener.replicator.ReadInterval() == this->settings.listenerInterval; }));
 }
 
-BOOST_AUTO_TEST_CASE(ADaemonReadsByItselfUntilItHasReadTheWhole)
+BOOST_AUTO_TEST_CASE(ADaemonReadsTheSourceDirectlyUntilItsFirstFullRead)
 {
-  Daemon& reader = *this->Readers().front();
-  Daemon& listener = *this->Readers(false).front();
-  Tell(reader, { "e1", "live", 5, false });
+  Daemon& reader = *this->FirstDomainDaemons().front();
+  Daemon& listener = *this->FirstDomainDaemons(false).front();
+  ReadRecord(reader, { "e1", "live", 5, false });
   BOOST_TEST(this->Eventually([&] { return listener.StateOf("e1").has_value(); }));
-  // However long it hears of reads: what there was before it has not been told
+  // Updates, for however long, do not contain the records from before they began
   const TimePoint begun = this->clock.Now();
-  while (this->clock.Now() - begun < 2 * this->settings.readerSilence) {
-    reader.Read(6);
+  while (this->clock.Now() - begun < 2 * this->settings.readerStalenessLimit) {
+    reader.CompleteRead(6);
     std::this_thread::sleep_for(Milliseconds(20));
-    BOOST_TEST((listener.news.Pace() <= this->settings.ownPaceLimit));
+    BOOST_TEST((listener.replicator.ReadInterval() <= this->settings.maximumDirectReadInterval));
   }
-  listener.ReadWhole({ { "e1", "live", 5, false } }, 6);
-  BOOST_TEST((listener.news.Pace() == this->settings.listenerPace));
-  while (this->clock.Now() - begun < 5 * this->settings.readerSilence) {
-    reader.Read(6);
+  listener.CompleteFullRead({ { "e1", "live", 5, false } }, 6);
+  BOOST_TEST((listener.replicator.ReadInterval() == this->settings.listenerInterval));
+  while (this->clock.Now() - begun < 5 * this->settings.readerStalenessLimit) {
+    reader.CompleteRead(6);
     std::this_thread::sleep_for(Milliseconds(20));
-    BOOST_TEST((listener.news.Pace() == this->settings.listenerPace));
+    BOOST_TEST((listener.replicator.ReadInterval() == this->settings.listenerInterval));
   }
-  // Then nothing more is heard
-  BOOST_TEST(this->Eventually([&] { return listener.news.Pace() <= settings.ownPaceLimit; }));
+  // No more updates arrive from here on
+  BOOST_TEST(this->Eventually(
+    [&] { return listener.replicator.ReadInterval() <= settings.maximumDirectReadInterval; }));
 }
 
-// Seen by callers: requests reached endpoints longer than allowed after these had said that they leave. Messages came
-// several times a second, and what they told of was seconds old: the reader, and each aggregator after it, had too
-// much to send. A daemon took whatever came for new and did not read by itself.
-BOOST_AUTO_TEST_CASE(OldNewsDoesNotKeepADaemonFromReading)
+// Guards against requests that reach endpoints for longer than allowed after these have reported that they leave.
+// Messages arrived several times a second but carried snapshots that were seconds old, as the primary reader and then
+// each aggregator had too much to send. A daemon treated every message as current and did not read the source directly.
+BOOST_AUTO_TEST_CASE(StaleUpdatesDoNotSuppressDirectReads)
 {
-  Daemon& reader = *this->Readers().front();
-  Daemon& listener = *this->Readers(false).front();
-  reader.ReadWhole({}, 0);
-  listener.ReadWhole({}, 0);
-  const TimePoint old = this->clock.BootNow();
+  Daemon& reader = *this->FirstDomainDaemons().front();
+  Daemon& listener = *this->FirstDomainDaemons(false).front();
+  reader.CompleteFullRead({}, 0);
+  listener.CompleteFullRead({}, 0);
+  const TimePoint staleReadTime = this->clock.BootNow();
   BOOST_TEST(this->Eventually([&] {
-    reader.Do([&] { reader.news.OnRead(old, 0); });
-    return listener.news.Pace() <= this->settings.ownPaceLimit;
+    reader.RunOnControlThread([&] { reader.replicator.OnReadCompleted(staleReadTime, 0); });
+    return listener.replicator.ReadInterval() <= this->settings.maximumDirectReadInterval;
   }));
-  // It tells its age as it is, and becomes current by what is new
-  BOOST_TEST((listener.news.Age() >= this->settings.readerSilence));
+  // It reports its true age, and becomes current again with a current update
+  BOOST_TEST((listener.replicator.Age() >= this->settings.readerStalenessLimit));
   BOOST_TEST(this->Eventually([&] {
-    reader.Read(0);
-    return listener.news.Pace() == this->settings.listenerPace;
+    reader.CompleteRead(0);
+    return listener.replicator.ReadInterval() == this->settings.listenerInterval;
   }));
 }
 
-/// A daemon that has read all records and not yet heard that the read is over has a picture of no age.
-BOOST_AUTO_TEST_CASE(AnAgeThatCannotBeIsNotBelieved)
+/// An implausible age occurs in practice: a daemon that has received all records of its first full read, but not yet
+/// the completion of that read, has a snapshot without an age.
+BOOST_AUTO_TEST_CASE(AnImplausibleAgeIsIgnored)
 {
-  constexpr auto kEndpointNews =
+  constexpr auto kEndpointUpdate =
     static_cast<RequestType>(static_cast<std::uint16_t>(RequestType::FirstForeign) + 4);
   Daemon& sender = *this->daemons[0];
   Daemon& listener = *this->daemons[1];
   const PeerAddress receiver{ Daemon::Identity(1, "a").self.Key(), "127.0.0.1",
                               listener.membership.Transport().Port() };
-  listener.ReadWhole({}, 5);
-  BOOST_TEST(this->Eventually([&] { return listener.news.Age() > this->settings.readerSilence; }));
-  NewsMessage message;
-  message.end = 5;
+  listener.CompleteFullRead({}, 5);
+  BOOST_TEST(this->Eventually(
+    [&] { return listener.replicator.Age() > this->settings.readerStalenessLimit; }));
+  EndpointUpdateMessage message;
+  message.endVersion = 5;
   for (const std::int64_t implausible :
        { std::numeric_limits<std::int64_t>::max(), std::numeric_limits<std::int64_t>::min() }) {
     message.age = implausible;
-    message.answered = implausible;
+    message.answeredFor = implausible;
     std::atomic<bool> answered{ false };
-    sender.Do([&] {
+    sender.RunOnControlThread([&] {
       sender.membership.Transport().Request(
-        receiver, kEndpointNews, EncodePeerMessage(message), Seconds(5),
+        receiver, kEndpointUpdate, EncodePeerMessage(message), Seconds(5),
         [&](const Result<std::string>& aAnswer) { answered = aAnswer.has_value(); });
     });
     BOOST_TEST(this->Eventually([&] { return answered.load(); }));
-    BOOST_TEST((listener.news.Age() >= Milliseconds(0)));
-    BOOST_TEST((listener.news.Age() < kPatience));
-    BOOST_TEST((listener.news.Age() > this->settings.readerSilence));
+    BOOST_TEST((listener.replicator.Age() >= Milliseconds(0)));
+    BOOST_TEST((listener.replicator.Age() < kWaitLimit));
+    BOOST_TEST((listener.replicator.Age() > this->settings.readerStalenessLimit));
   }
 }
 
-/// Whoever was away for longer than changes are kept has missed some.
-BOOST_AUTO_TEST_CASE(NewsThatLeavesAGapMakesAPictureNoYounger)
+/// A daemon that was unreachable for longer than changes are retained has missed some.
+BOOST_AUTO_TEST_CASE(AnUpdateThatLeavesAGapDoesNotMakeASnapshotYounger)
 {
-  Daemon& reader = *this->Readers().front();
-  Daemon& listener = *this->Readers(false).front();
-  listener.ReadWhole({}, 5);
-  reader.ReadWhole({}, 9);
+  Daemon& reader = *this->FirstDomainDaemons().front();
+  Daemon& listener = *this->FirstDomainDaemons(false).front();
+  listener.CompleteFullRead({}, 5);
+  reader.CompleteFullRead({}, 9);
   BOOST_TEST(this->Eventually([&] {
-    reader.Read(9);
-    return listener.news.Pace() <= this->settings.ownPaceLimit;
+    reader.CompleteRead(9);
+    return listener.replicator.ReadInterval() <= this->settings.maximumDirectReadInterval;
   }));
-  listener.ReadWhole({}, 9);
-  BOOST_TEST((listener.news.Pace() == this->settings.listenerPace));
+  listener.CompleteFullRead({}, 9);
+  BOOST_TEST((listener.replicator.ReadInterval() == this->settings.listenerInterval));
 }
 
-// Found by a played day: 81 requests reached endpoints three seconds after they had gone, because their reader had
-// just lost the source and kept the removals to itself.
-BOOST_AUTO_TEST_CASE(AReaderThatWasCutOffPassesRemovalsOn)
+// Found by a soak run: 81 requests reached endpoints three seconds after these had terminated, because the reader had
+// just lost the source and did not forward the removals.
+BOOST_AUTO_TEST_CASE(AReaderForwardsRemovalsAfterItLostTheSource)
 {
-  Daemon& reader = *this->Readers().front();
-  Tell(reader, { "e1", "live", 5, false });
-  for (Daemon* daemon : this->Readers(false)) {
+  Daemon& reader = *this->FirstDomainDaemons().front();
+  ReadRecord(reader, { "e1", "live", 5, false });
+  for (Daemon* daemon : this->FirstDomainDaemons(false)) {
     BOOST_TEST(this->Eventually([&] { return daemon->StateOf("e1") == EndpointState::Live; }));
   }
-  reader.Do([&] {
-    reader.news.OnSource(false);
-    reader.news.OnSource(true);
+  reader.RunOnControlThread([&] {
+    reader.replicator.OnSourceReachability(false);
+    reader.replicator.OnSourceReachability(true);
   });
-  Tell(reader, { "e1", "", 6, true });
+  ReadRecord(reader, { "e1", "", 6, true });
   BOOST_TEST((reader.StateOf("e1") == EndpointState::Live));
-  for (Daemon* daemon : this->Readers(false)) {
+  for (Daemon* daemon : this->FirstDomainDaemons(false)) {
     BOOST_TEST(this->Eventually([&] { return daemon->StateOf("e1") == EndpointState::Leaving; }));
   }
 }
 
-// Seen by callers: a request reached an endpoint 2.3 s after it had left, where 2 s are allowed, sent by one daemon only.
-// Entries that vanish around an outage of the source are kept for 2.2 s after its return, as those of live endpoints
-// lapse with it. A daemon that alone had lost the source, or found a single read unanswered, took that for such an outage,
-// whatever it heard from others.
-BOOST_AUTO_TEST_CASE(ARemovalBindsWhereOthersSawTheSourceAllAlong)
+// Guards against requests that reach an endpoint too late after it left: a single daemon sent one after 2.3 s, where 2
+// s are allowed. Entries that vanish around an outage of the source are kept for 2.2 s after its return, as entries of
+// live endpoints lapse during an outage. A daemon that alone had lost the source, or had a single read unanswered,
+// treated that as such an outage, although other daemons reported that the source answered.
+BOOST_AUTO_TEST_CASE(ARemovalTakesEffectIfOtherDaemonsSawNoOutage)
 {
-  Daemon& reader = *this->Readers().front();
-  Daemon& listener = *this->Readers(false).front();
-  reader.ReadWhole({ { "e1", "live", 5, false } }, 6);
-  listener.ReadWhole({ { "e1", "live", 5, false } }, 6);
+  Daemon& reader = *this->FirstDomainDaemons().front();
+  Daemon& listener = *this->FirstDomainDaemons(false).front();
+  reader.CompleteFullRead({ { "e1", "live", 5, false } }, 6);
+  listener.CompleteFullRead({ { "e1", "live", 5, false } }, 6);
   const TimePoint begun = this->clock.Now();
-  while (this->clock.Now() - begun < this->settings.repeat) {
-    reader.Read(6);
+  while (this->clock.Now() - begun < this->settings.changeRetention) {
+    reader.CompleteRead(6);
     std::this_thread::sleep_for(Milliseconds(50));
   }
-  listener.Do([&] {
-    listener.news.OnSource(false);
-    listener.news.OnSource(true);
+  listener.RunOnControlThread([&] {
+    listener.replicator.OnSourceReachability(false);
+    listener.replicator.OnSourceReachability(true);
   });
   const TimePoint removed = this->clock.Now();
-  reader.Do([&] { reader.news.OnRecord({ "e1", "", 6, true }); });
+  reader.RunOnControlThread([&] { reader.replicator.OnRecord({ "e1", "", 6, true }); });
   BOOST_TEST(this->Eventually([&] {
-    reader.Read(7);
+    reader.CompleteRead(7);
     return listener.StateOf("e1") == EndpointState::Leaving;
   }));
   BOOST_TEST((this->clock.Now() - removed < Seconds(1)));
 }
 
-// Found by a played day: one reader did not reach a daemon, the other had heard the news from the first and kept
-// it to itself.
-BOOST_AUTO_TEST_CASE(AReaderPassesOnWhatTheOtherHasRead)
+// Found by a soak run: one aggregator did not reach a daemon, and the other had received the record from the first and
+// did not forward it.
+BOOST_AUTO_TEST_CASE(AnAggregatorForwardsRecordsThatAnotherHasRead)
 {
-  Daemon& first = *this->Readers().front();
-  Daemon& second = *this->Readers().back();
-  second.Do([&] { second.news.OnWhole({}, 0); });
-  Tell(first, { "e1", "live", 5, false });
+  Daemon& first = *this->FirstDomainDaemons().front();
+  Daemon& second = *this->FirstDomainDaemons().back();
+  second.RunOnControlThread([&] { second.replicator.OnFullRead({}, 0); });
+  ReadRecord(first, { "e1", "live", 5, false });
   BOOST_TEST(this->Eventually([&] { return second.StateOf("e1").has_value(); }));
 
-  // From now on only the second tells of reads; a daemon that comes then hears it from that one
-  Daemon& newcomer = this->AddLast();
+  // From now on only the second sends updates; a daemon that joins now receives the record from it
+  Daemon& newcomer = this->AddNonAggregator();
   BOOST_TEST(this->Eventually([&] {
-    second.Read(6);
+    second.CompleteRead(6);
     return newcomer.StateOf("e1") == EndpointState::Live;
   }));
 }
 
-BOOST_AUTO_TEST_CASE(WhatAReaderFindsInTheWholeIsPassedOn)
+BOOST_AUTO_TEST_CASE(ChangesFoundByAFullReadAreForwarded)
 {
-  Daemon& reader = *this->Readers().front();
-  reader.ReadWhole({ { "e1", "live", 5, false } }, 6);
-  Tell(reader, { "e2", "live", 6, false });
-  Daemon& listener = *this->Readers(false).front();
+  Daemon& reader = *this->FirstDomainDaemons().front();
+  reader.CompleteFullRead({ { "e1", "live", 5, false } }, 6);
+  ReadRecord(reader, { "e2", "live", 6, false });
+  Daemon& listener = *this->FirstDomainDaemons(false).front();
   BOOST_TEST(this->Eventually([&] { return listener.StateOf("e2") == EndpointState::Live; }));
-  // History was lost in between
-  reader.ReadWhole({ { "e3", "live", 9, false } }, 10);
+  // The source has lost its history in between
+  reader.CompleteFullRead({ { "e3", "live", 9, false } }, 10);
   BOOST_TEST(this->Eventually([&] { return listener.StateOf("e2") == EndpointState::Leaving; }));
   BOOST_TEST(this->Eventually([&] { return listener.StateOf("e3") == EndpointState::Live; }));
 }
 
-BOOST_AUTO_TEST_CASE(AnOlderRecordChangesNothing)
+BOOST_AUTO_TEST_CASE(AnOlderRecordHasNoEffect)
 {
   Daemon& daemon = *this->daemons[4];
-  Tell(daemon, { "e1", "live", 5, false });
-  Tell(daemon, { "e1", "", 7, true });
-  const int before = daemon.changes;
-  Tell(daemon, { "e1", "live", 6, false });
-  BOOST_TEST(daemon.changes == before);
+  ReadRecord(daemon, { "e1", "live", 5, false });
+  ReadRecord(daemon, { "e1", "", 7, true });
+  const int before = daemon.changeCount;
+  ReadRecord(daemon, { "e1", "live", 6, false });
+  BOOST_TEST(daemon.changeCount == before);
   BOOST_TEST((daemon.StateOf("e1") == EndpointState::Leaving));
 
-  // A whole picture that was read before the newest news came takes nothing back
-  Tell(daemon, { "e2", "live", 9, false });
-  daemon.Do([&] { daemon.news.OnWhole({ { "e3", "live", 8, false } }, 9); });
+  // A full read that began before the newest record arrived reverts nothing
+  ReadRecord(daemon, { "e2", "live", 9, false });
+  daemon.RunOnControlThread([&] {
+    daemon.replicator.OnFullRead({ { "e3", "live", 8, false } }, 9);
+  });
   BOOST_TEST((daemon.StateOf("e2") == EndpointState::Live));
   BOOST_TEST((daemon.StateOf("e3") == EndpointState::Live));
-  daemon.Do([&] { daemon.news.OnWhole({ { "e3", "live", 8, false } }, 10); });
+  daemon.RunOnControlThread([&] {
+    daemon.replicator.OnFullRead({ { "e3", "live", 8, false } }, 10);
+  });
   BOOST_TEST((daemon.StateOf("e2") == EndpointState::Leaving));
 }
 
-BOOST_AUTO_TEST_CASE(AMalformedRecordIsLeftOut)
+BOOST_AUTO_TEST_CASE(AMalformedRecordOfAnUnknownEndpointIsCountedAndIgnored)
 {
   Daemon& daemon = *this->daemons[4];
-  Tell(daemon, { "e1", "", 5, false });
+  ReadRecord(daemon, { "e1", "", 5, false });
   BOOST_TEST(!daemon.StateOf("e1").has_value());
-  BOOST_TEST(daemon.changes == 0);
-  BOOST_TEST(daemon.news.Refused() == 1);
+  BOOST_TEST(daemon.changeCount == 0);
+  BOOST_TEST(daemon.replicator.RefusedRecords() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(AMalformedRecordTakesAKnownEndpointOutOfUseAndNoOther)
+BOOST_AUTO_TEST_CASE(AMalformedRecordEjectsOnlyItsOwnEndpoint)
 {
   Daemon& daemon = *this->daemons[4];
-  Tell(daemon, { "e1", "live", 5, false });
-  Tell(daemon, { "e2", "live", 6, false });
-  Tell(daemon, { "e1", "", 7, false });
+  ReadRecord(daemon, { "e1", "live", 5, false });
+  ReadRecord(daemon, { "e2", "live", 6, false });
+  ReadRecord(daemon, { "e1", "", 7, false });
   BOOST_TEST((daemon.StateOf("e1") == EndpointState::Ejected));
   BOOST_TEST((daemon.StateOf("e2") == EndpointState::Live));
-  Tell(daemon, { "e1", "live", 8, false });
+  ReadRecord(daemon, { "e1", "live", 8, false });
   BOOST_TEST((daemon.StateOf("e1") == EndpointState::Live));
 }
 
-BOOST_AUTO_TEST_CASE(WhoHasNotReadTheWholeTellsNobodyThatItReads)
+BOOST_AUTO_TEST_CASE(ADaemonSendsNoUpdatesBeforeItsFirstFullRead)
 {
-  Daemon& reader = *this->Readers().front();
-  Daemon& listener = *this->Readers(false).front();
-  listener.ReadWhole({}, 0);
+  Daemon& reader = *this->FirstDomainDaemons().front();
+  Daemon& listener = *this->FirstDomainDaemons(false).front();
+  listener.CompleteFullRead({}, 0);
   BOOST_TEST(this->Eventually([&] {
-    reader.Read(0);
-    return listener.news.WatchesSource();
+    reader.CompleteRead(0);
+    return listener.replicator.WatchesSource();
   }));
 }
 
-// Seen by callers: while a large deployment started, requests reached endpoints four to five seconds after these had
-// said that they leave. Each read repeated the changes of the last four seconds to everybody: up to 49 KB to 60
-// daemons, a second of a small host's link at the reader and another one at each aggregator. Messages that were not
-// answered within their time took connections with them.
-BOOST_AUTO_TEST_CASE(WhatADaemonHasConfirmedIsNotToldAgain)
+// Guards against requests that reach endpoints four to five seconds after these have reported that they leave, seen
+// while a large deployment started. Each read sent the changes of the last four seconds to every receiver again: up to
+// 49 KB to 60 daemons, which took one second of a small host's link at the primary reader and one more at each
+// aggregator. Messages that timed out closed their connections as well.
+BOOST_AUTO_TEST_CASE(AcknowledgedChangesAreNotSentAgain)
 {
   constexpr int kEndpoints = 200;
   constexpr int kFurtherReads = 10;
-  Daemon& reader = this->ReaderForAll();
+  Daemon& reader = this->PrimaryReader();
   const auto sentBytes = [&] {
     std::uint64_t sent = 0;
-    reader.Do([&] { sent = reader.membership.Transport().Counters().streamBytesSent; });
+    reader.RunOnControlThread(
+      [&] { sent = reader.membership.Transport().Counters().streamBytesSent; });
     return sent;
   };
   for (const auto& daemon : this->daemons) {
-    daemon->ReadWhole({}, 0);
+    daemon->CompleteFullRead({}, 0);
   }
   const std::uint64_t before = sentBytes();
-  reader.Do([&] {
+  reader.RunOnControlThread([&] {
     for (int index = 0; index < kEndpoints; ++index) {
-      reader.news.OnRecord({ "endpoint-" + std::to_string(index), "live", index, false });
+      reader.replicator.OnRecord({ "endpoint-" + std::to_string(index), "live", index, false });
     }
-    reader.news.OnRead(this->clock.BootNow(), kEndpoints);
+    reader.replicator.OnReadCompleted(this->clock.BootNow(), kEndpoints);
   });
-  const std::string last = "endpoint-" + std::to_string(kEndpoints - 1);
+  const std::string lastId = "endpoint-" + std::to_string(kEndpoints - 1);
   for (const auto& daemon : this->daemons) {
-    BOOST_TEST(this->Eventually([&] { return daemon->StateOf(last).has_value(); }));
+    BOOST_TEST(this->Eventually([&] { return daemon->StateOf(lastId).has_value(); }));
   }
   std::this_thread::sleep_for(Milliseconds(100));
-  const std::uint64_t first = sentBytes() - before;
+  const std::uint64_t bytesOfFirstUpdate = sentBytes() - before;
   for (int read = 0; read < kFurtherReads; ++read) {
-    reader.Read(kEndpoints);
+    reader.CompleteRead(kEndpoints);
     std::this_thread::sleep_for(Milliseconds(20));
   }
-  BOOST_TEST(sentBytes() - before - first < first);
+  BOOST_TEST(sentBytes() - before - bytesOfFirstUpdate < bytesOfFirstUpdate);
 }
 
-/// An endpoint that was there when the reader began to tell is not among its news.
-BOOST_AUTO_TEST_CASE(WhatWasMissedShowsInTheDigest)
+/// An endpoint that existed when the reader's change log began is not part of its updates.
+BOOST_AUTO_TEST_CASE(AMissedRecordIsDetectedByTheDigest)
 {
-  Daemon& reader = *this->Readers().front();
-  Daemon& listener = *this->Readers(false).front();
-  reader.Do([&] { reader.news.OnWhole({ { "e1", "live", 5, false } }, 6); });
+  Daemon& reader = *this->FirstDomainDaemons().front();
+  Daemon& listener = *this->FirstDomainDaemons(false).front();
+  reader.RunOnControlThread([&] {
+    reader.replicator.OnFullRead({ { "e1", "live", 5, false } }, 6);
+  });
   BOOST_TEST(this->Eventually([&] {
-    reader.Read(6);
-    return listener.news.Pace() == Milliseconds(0);
+    reader.CompleteRead(6);
+    return listener.replicator.ReadInterval() == Milliseconds(0);
   }));
   BOOST_TEST(!listener.StateOf("e1").has_value());
-  listener.ReadWhole({ { "e1", "live", 5, false } }, 6);
-  BOOST_TEST((listener.news.Pace() > Milliseconds(0)));
+  listener.CompleteFullRead({ { "e1", "live", 5, false } }, 6);
+  BOOST_TEST((listener.replicator.ReadInterval() > Milliseconds(0)));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
 
 BOOST_AUTO_TEST_SUITE(EndpointNewsSettingsTests)
 
-/// Grounds: a request that reaches an endpoint later than the time within which its leaving must be known is a fault.
-BOOST_DATA_TEST_CASE(ALeavingIsFoundInTimeThoughTheReaderDies,
+/// A request that reaches an endpoint after the time within which its leaving must be known is a fault.
+BOOST_DATA_TEST_CASE(LeavingIsKnownInTimeWhenThePrimaryReaderFails,
                      boost::unit_test::data::make({ 700, 1000, 2000, 3000, 4000, 10000 }), notice)
 {
-  const Milliseconds time(notice);
-  const EndpointNewsSettings settings = EndpointNewsSettingsFor(time);
-  const Milliseconds longest = settings.readerSilence + 2 * settings.silenceStep;
-  BOOST_TEST((longest <= time));
-  BOOST_TEST((settings.readerPace <= Milliseconds(1000)));
-  BOOST_TEST((settings.repeat > longest));
+  const Milliseconds leavingNotice(notice);
+  const EndpointNewsSettings settings = EndpointReplicatorSettingsFor(leavingNotice);
+  const Milliseconds longestStalenessLimit =
+    settings.readerStalenessLimit + 2 * settings.stalenessLimitStep;
+  BOOST_TEST((longestStalenessLimit <= leavingNotice));
+  BOOST_TEST((settings.readerInterval <= Milliseconds(1000)));
+  BOOST_TEST((settings.changeRetention > longestStalenessLimit));
 }
 
-BOOST_AUTO_TEST_CASE(DefaultsAreThoseForTwoSeconds)
+BOOST_AUTO_TEST_CASE(DefaultsEqualTheSettingsForTwoSeconds)
 {
   const EndpointNewsSettings defaults;
-  const EndpointNewsSettings derived = EndpointNewsSettingsFor(Seconds(2));
-  BOOST_TEST((defaults.readerPace == derived.readerPace));
-  BOOST_TEST((defaults.readerSilence == derived.readerSilence));
-  BOOST_TEST((defaults.silenceStep == derived.silenceStep));
-  BOOST_TEST((defaults.ownPaceLimit == derived.ownPaceLimit));
-  BOOST_TEST((defaults.lateAfter == derived.lateAfter));
-  BOOST_TEST((defaults.repeat == derived.repeat));
+  const EndpointNewsSettings derived = EndpointReplicatorSettingsFor(Seconds(2));
+  BOOST_TEST((defaults.readerInterval == derived.readerInterval));
+  BOOST_TEST((defaults.readerStalenessLimit == derived.readerStalenessLimit));
+  BOOST_TEST((defaults.stalenessLimitStep == derived.stalenessLimitStep));
+  BOOST_TEST((defaults.maximumDirectReadInterval == derived.maximumDirectReadInterval));
+  BOOST_TEST((defaults.staleAfter == derived.staleAfter));
+  BOOST_TEST((defaults.changeRetention == derived.changeRetention));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/UnitTests/Daemon/RelayReporterTests.cpp
+++ b/UnitTests/Daemon/RelayReporterTests.cpp
@@ -7,7 +7,7 @@
 
 BOOST_AUTO_TEST_SUITE(RelayReporterTests)
 
-BOOST_AUTO_TEST_CASE(ThePageTellsWhatTheDaemonBelievesNow)
+BOOST_AUTO_TEST_CASE(MetricsShowTheCurrentState)
 {
   const VirtualClock clock;
   RelayReporter reporter(clock);
@@ -15,7 +15,7 @@
   state.configurationVersion = 7;
   state.endpoints["s"] = { 3, 1 };
   state.daemons = 70;
-  state.leads = true;
+  state.isLeader = true;
   state.endpointsAge = Milliseconds(750);
   const std::string first = reporter.MetricsText(state);
   BOOST_TEST(first.find("lagoonward_relay_configuration_version 7\n") != std::string::npos);
@@ -24,9 +24,9 @@
   BOOST_TEST(first.find("lagoonward_relay_leads 1\n") != std::string::npos);
   BOOST_TEST(first.find("lagoonward_relay_endpoints_age_seconds 0.75\n") != std::string::npos);
 
-  // A service that has lost its endpoints shows none, not the last count
+  // A service that has lost its endpoints is reported with zero, not with its last count
   state.endpoints["s"] = {};
-  state.leads = false;
+  state.isLeader = false;
   const std::string second = reporter.MetricsText(state);
   BOOST_TEST(second.find("lagoonward_relay_endpoints{service=\"s\",state=\"live\"} 0\n") !=
              std::string::npos);
--- a/UnitTests/Daemon/UsageReporterTests.cpp
+++ b/UnitTests/Daemon/UsageReporterTests.cpp
@@ -12,8 +12,8 @@
 
 constexpr std::string_view kStream = "usage/r";
 
-/// A daemon alone that counts its own usage and may lead.
-struct Scene
+/// A single daemon that counts its own usage and may be the leader.
+struct Fixture
 {
   UsageReporterPorts Ports()
   {
@@ -33,7 +33,7 @@
     return ports;
   }
 
-  /// Time passes, and the daemon does what it does four times a second.
+  /// Advances the clock and does the daemon's periodic step four times a second.
   void Run(Milliseconds aSpan)
   {
     constexpr Milliseconds kInterval{ 250 };
@@ -44,7 +44,7 @@
     }
   }
 
-  /// Requests of an account in all reports.
+  /// Number of requests of an account in all reports.
   [[nodiscard]] std::int64_t Reported(const std::string& aAccount) const
   {
     std::int64_t sum = 0;
@@ -65,9 +65,9 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(UsageReporterTests, Scene)
+BOOST_FIXTURE_TEST_SUITE(UsageReporterTests, Fixture)
 
-BOOST_AUTO_TEST_CASE(ReportsEachWindowOnce)
+BOOST_AUTO_TEST_CASE(EachWindowIsReportedOnce)
 {
   this->counter.OnBegan("a");
   this->Run(Seconds(30));
@@ -78,10 +78,10 @@
   }
 }
 
-/// A daemon stood still for some seconds, as a suspended host does, and what it had counted was in no report: it looked at the
-/// last six windows only and kept counts of five, which is half a minute where a window has 5 s and no time where it
-/// has 1 s. Seen in 33 of 60 runs of a daemon whose process was stopped for 0.6 to 6.5 s once or twice.
-BOOST_AUTO_TEST_CASE(ADaemonThatStoodStillReportsWhatItHadCounted)
+/// Guards against lost counts of a daemon that was suspended for some seconds, as a host can be. The reporter examined
+/// only the last six windows and kept the counts of five: half a minute for windows of 5 s, but too short for windows
+/// of 1 s. Seen in 33 of 60 runs of a daemon whose process was stopped for 0.6 to 6.5 s once or twice.
+BOOST_AUTO_TEST_CASE(ASuspendedDaemonReportsItsCountsAfterwards)
 {
   this->Run(Milliseconds(500));
   this->counter.OnBegan("a");
@@ -94,7 +94,7 @@
   BOOST_TEST(this->Reported("b") == 1);
 }
 
-BOOST_AUTO_TEST_CASE(WhatNobodyCouldReportIsReportedByTheNextToLead)
+BOOST_AUTO_TEST_CASE(UsageWithoutALeaderIsReportedByTheNextLeader)
 {
   this->counter.OnBegan("a");
   this->leads = false;
@@ -105,8 +105,8 @@
   BOOST_TEST(this->Reported("a") == 1);
 }
 
-/// The log forgets: a window that may have been reported must not be reported again with other counts.
-BOOST_AUTO_TEST_CASE(WhatMayHaveBeenReportedAndForgottenIsNotReported)
+/// The log drops old records. A window whose record may have been dropped must not be reported again with other counts.
+BOOST_AUTO_TEST_CASE(AWindowWhoseLogRecordMayHaveExpiredIsNotReported)
 {
   this->counter.OnBegan("a");
   this->leads = false;
@@ -116,7 +116,7 @@
   BOOST_TEST(this->Reported("a") == 0);
 }
 
-BOOST_AUTO_TEST_CASE(TheFirstRecordOfAWindowIsWhatIsReported)
+BOOST_AUTO_TEST_CASE(TheFirstLogRecordOfAWindowIsReported)
 {
   const std::int64_t window = this->counter.CurrentWindow();
   static_cast<void>(this->log.Append(kStream, WriteUsageRecord({ window, { { "a", 7 } } })));
