--- a/Lagoonward/Daemon/RelayDaemon.cpp
+++ b/Lagoonward/Daemon/RelayDaemon.cpp
@@ -348,10 +348,10 @@
 }
 
 void
-RelayDaemon::OnEndpointRecords(std::vector<EndpointRecord> aRecords, std::int64_t aEnd)
+RelayDaemon::OnEndpointRecords(std::vector<EndpointRecord> aRecords, std::int64_t aEndVersion)
 {
-  this->membership->Loop().Post([this, records = std::move(aRecords), aEnd] {
-    this->endpointReplicator->OnFullRead(records, aEnd);
+  this->membership->Loop().Post([this, records = std::move(aRecords), aEndVersion] {
+    this->endpointReplicator->OnFullRead(records, aEndVersion);
     // An empty list is a valid snapshot as well
     if (!this->knowsEndpoints.exchange(true)) {
       this->PublishFleet();
@@ -360,10 +360,10 @@
 }
 
 void
-RelayDaemon::OnEndpointsRead(TimePoint aAsOf, std::int64_t aEnd)
+RelayDaemon::OnEndpointsRead(TimePoint aAsOf, std::int64_t aEndVersion)
 {
   this->membership->Loop().Post(
-    [this, aAsOf, aEnd] { this->endpointReplicator->OnReadCompleted(aAsOf, aEnd); });
+    [this, aAsOf, aEndVersion] { this->endpointReplicator->OnReadCompleted(aAsOf, aEndVersion); });
 }
 
 void
--- a/Lagoonward/Daemon/RelayDaemon.h
+++ b/Lagoonward/Daemon/RelayDaemon.h
@@ -45,11 +45,11 @@
   /// A record of an endpoint was read. See EndpointNews for this and the next three.
   void OnEndpointRecord(EndpointRecord aRecord);
   /// All existing records of endpoints were read.
-  void OnEndpointRecords(std::vector<EndpointRecord> aRecords, std::int64_t aEnd);
+  void OnEndpointRecords(std::vector<EndpointRecord> aRecords, std::int64_t aEndVersion);
   /// The endpoints' source has answered a read.
-  /// @param aAsOf  BootNow() at which the read began
-  /// @param aEnd   all records below this version have been passed
-  void OnEndpointsRead(TimePoint aAsOf, std::int64_t aEnd);
+  /// @param aAsOf        BootNow() at which the read began
+  /// @param aEndVersion  all records below this version have been passed
+  void OnEndpointsRead(TimePoint aAsOf, std::int64_t aEndVersion);
   /// The endpoints' source has stopped answering, or answers again.
   void OnEndpointSource(bool aAnswers);
   /// Interval between two reads of the endpoints' records in the current state.
--- a/UnitTests/Daemon/EndpointNewsTests.cpp
+++ b/UnitTests/Daemon/EndpointNewsTests.cpp
@@ -385,10 +385,10 @@
   }
 }
 
-// Guards against requests that reach an endpoint too late after it left: a single daemon sent one after 2.3 s, where 2
-// s are allowed. Entries that vanish around an outage of the source are kept for 2.2 s after its return, as entries of
-// live endpoints lapse during an outage. A daemon that alone had lost the source, or had a single read unanswered,
-// treated that as such an outage, although other daemons reported that the source answered.
+// Guards against requests that reach an endpoint too late after it left: a single daemon sent one after 2.3 s; 2 s are
+// allowed. Entries that vanish around an outage of the source are kept for 2.2 s after its return, as entries of live
+// endpoints lapse during an outage. A daemon that alone had lost the source, or had a single read unanswered, treated
+// that as such an outage, although other daemons reported that the source answered.
 BOOST_AUTO_TEST_CASE(ARemovalTakesEffectIfOtherDaemonsSawNoOutage)
 {
   Daemon& reader = *this->FirstDomainDaemons().front();
