--- a/Lagoonward/Daemon/CrashExchange.cpp
+++ b/Lagoonward/Daemon/CrashExchange.cpp
@@ -11,81 +11,84 @@
 
 const Log kLog("poison");
 
-/// The message, a CrashReport; numbers above RequestType::FirstForeign are this folder's.
+/// Type of the message, a CrashReport; request types above RequestType::FirstForeign belong to this folder.
 constexpr auto kCrash =
   static_cast<RequestType>(static_cast<std::uint16_t>(RequestType::FirstForeign) + 7);
 
 } // namespace
 
-CrashExchange::CrashExchange(const CrashExchangeSettings& aSettings, KeeperDirectory& aKeepers,
-                             MembershipService& aMembership, PoisonGuard& aGuard,
+CrashExchange::CrashExchange(const CrashExchangeSettings& aSettings, KeeperDirectory& aOwners,
+                             MembershipService& aMembership, PoisonGuard& aPoisonFilter,
                              const Clock& aClock)
   : settings(aSettings)
-  , keepers(aKeepers)
+  , owners(aOwners)
   , membership(aMembership)
-  , guard(aGuard)
+  , poisonFilter(aPoisonFilter)
   , clock(aClock)
 {
   this->membership.Transport().OnRequest(
     kCrash, [this](PeerKey, std::string_view aBytes, const PeerTransport::Respond& aRespond) {
       const auto report = DecodeMessage<CrashReport>(aBytes);
       if (report) {
-        this->guard.OnToldCrash(report.value());
+        this->poisonFilter.OnToldCrash(report.value());
       } else {
-        kLog.Warning("A daemon sent a malformed report of a crash.");
+        kLog.Warning("Received a malformed crash report from a peer; ignored.");
       }
       aRespond(std::string());
     });
-  this->guard.OnReport([this](const CrashReport& aReport) {
-    this->membership.Loop().Post([this, report = aReport] { this->Add(report); });
+  this->poisonFilter.OnReport([this](const CrashReport& aReport) {
+    this->membership.Loop().Post([this, report = aReport] { this->AddCrash(report); });
   });
 }
 
 void
 CrashExchange::OnKeepers()
 {
-  for (Seen& each : this->seen) {
-    this->TellKeepers(each);
+  for (ObservedCrash& crash : this->observed) {
+    this->NotifyOwners(crash);
   }
 }
 
 void
-CrashExchange::Add(const CrashReport& aReport)
+CrashExchange::AddCrash(const CrashReport& aReport)
 {
   kLog.Event("endpoint_lost", { { "print", aReport.request }, { "endpoint", aReport.endpoint } });
-  if (this->seen.size() >= this->settings.maximumOwn) {
-    this->seen.pop_front();
+  if (this->observed.size() >= this->settings.maximumRetained) {
+    this->observed.pop_front();
   }
-  this->seen.push_back({ aReport, this->clock.Now() - Milliseconds(aReport.age), {} });
-  this->TellKeepers(this->seen.back());
+  this->observed.push_back({ aReport, this->clock.Now() - Milliseconds(aReport.age), {} });
+  this->NotifyOwners(this->observed.back());
 }
 
 void
-CrashExchange::TellKeepers(Seen& aSeen)
+CrashExchange::NotifyOwners(ObservedCrash& aCrash)
 {
-  for (const PeerAddress& keeper : this->keepers.OthersFor(aSeen.report.request)) {
-    if (std::find(aSeen.told.begin(), aSeen.told.end(), keeper.key) == aSeen.told.end()) {
-      aSeen.told.push_back(keeper.key);
-      this->Tell(keeper, aSeen.report, aSeen.at, this->settings.attempts);
+  for (const PeerAddress& owner : this->owners.OthersFor(aCrash.report.request)) {
+    if (std::find(aCrash.notified.begin(), aCrash.notified.end(), owner.key) ==
+        aCrash.notified.end()) {
+      aCrash.notified.push_back(owner.key);
+      this->SendReport(owner, aCrash.report, aCrash.observedAt, this->settings.maximumAttempts);
     }
   }
 }
 
 void
-CrashExchange::Tell(const PeerAddress& aKeeper, const CrashReport& aReport, TimePoint aAt,
-                    int aLeft)
+CrashExchange::SendReport(const PeerAddress& aOwner, const CrashReport& aReport,
+                          TimePoint aObservedAt, int aAttemptsLeft)
 {
   CrashReport report = aReport;
-  const std::int64_t since = std::chrono::floor<Milliseconds>(this->clock.Now() - aAt).count();
-  report.sentAge += since - report.age;
-  report.age = since;
+  const std::int64_t age =
+    std::chrono::floor<Milliseconds>(this->clock.Now() - aObservedAt).count();
+  report.sentAge += age - report.age;
+  report.age = age;
   this->membership.Transport().Request(
-    aKeeper, kCrash, EncodeMessage(report), this->settings.timeout,
-    [this, aKeeper, aReport, aAt, aLeft](const Result<std::string>& aAnswer) {
-      if (!aAnswer && aLeft > 1) {
-        this->membership.Loop().After(this->settings.pause, [this, aKeeper, aReport, aAt, aLeft] {
-          this->Tell(aKeeper, aReport, aAt, aLeft - 1);
-        });
+    aOwner, kCrash, EncodeMessage(report), this->settings.timeout,
+    [this, aOwner, aReport, aObservedAt, aAttemptsLeft](const Result<std::string>& aResponse) {
+      if (!aResponse && aAttemptsLeft > 1) {
+        this->membership.Loop().After(
+          this->settings.retryDelay, [this, aOwner, aReport, aObservedAt, aAttemptsLeft] {
+            this->SendReport(aOwner, aReport, aObservedAt, aAttemptsLeft - 1);
+          });
       }
     });
 }
--- a/Lagoonward/Daemon/CrashExchange.h
+++ b/Lagoonward/Daemon/CrashExchange.h
@@ -9,49 +9,52 @@
 
 namespace lagoonward {
 
-/// Tunables of the exchange of crashes.
+/// Tunables of the exchange of crash reports.
 struct CrashExchangeSettings
 {
-  Milliseconds timeout{ 800 }; ///< For one message.
-  Milliseconds pause{ 300 };   ///< Before a message that got no answer is sent again.
-  int attempts = 5;            ///< To one keeper.
+  Milliseconds timeout{ 800 };    ///< For one message.
+  Milliseconds retryDelay{ 300 }; ///< Before an unanswered message is sent again.
+  int maximumAttempts = 5;        ///< Messages to one key owner.
 
-  /// Crashes seen here that are told anew where others keep their requests now; the oldest go first.
-  std::size_t maximumOwn = 256;
+  /// Crashes observed by this daemon that are retained, so that they can be sent to new key owners. The oldest is
+  /// evicted first.
+  std::size_t maximumRetained = 256;
 };
 
-/// Tells the keepers of a request's key that an endpoint was lost with it, and takes what others tell of the keys that
-/// this daemon keeps. One message to each of two keepers for a crash, whatever the number of daemons. What keepers
-/// conclude goes to all daemons with the LoadExchange. Lives on the control thread.
+/// Reports each endpoint that was lost while it had a request to the owners of that request's key, and applies the
+/// reports of other daemons about keys that this daemon owns. A crash takes one message to each of two owners, whatever
+/// the number of daemons. The owners' verdicts reach all daemons with the LoadExchange. Runs on the control thread.
 class CrashExchange
 {
 public:
-  /// Must be made before the membership starts; references must outlive it.
-  CrashExchange(const CrashExchangeSettings& aSettings, KeeperDirectory& aKeepers,
-                MembershipService& aMembership, PoisonGuard& aGuard, const Clock& aClock);
+  /// Must be constructed before the membership starts; references must outlive it.
+  CrashExchange(const CrashExchangeSettings& aSettings, KeeperDirectory& aOwners,
+                MembershipService& aMembership, PoisonGuard& aPoisonFilter, const Clock& aClock);
 
-  /// Who keeps what may have changed: what was seen here is told to those who don't know it. On the control thread.
+  /// Key ownership may have changed: sends the retained crashes to owners that were not sent them yet. On the control
+  /// thread.
   void OnKeepers();
 
 private:
-  /// A crash that was seen here, and who was told of it.
-  struct Seen
+  /// A crash that this daemon observed, and the owners that were sent it.
+  struct ObservedCrash
   {
     CrashReport report;
-    TimePoint at;
-    std::vector<PeerKey> told;
+    TimePoint observedAt;
+    std::vector<PeerKey> notified;
   };
 
-  void Add(const CrashReport& aReport);
-  void TellKeepers(Seen& aSeen);
-  void Tell(const PeerAddress& aKeeper, const CrashReport& aReport, TimePoint aAt, int aLeft);
+  void AddCrash(const CrashReport& aReport);
+  void NotifyOwners(ObservedCrash& aCrash);
+  void SendReport(const PeerAddress& aOwner, const CrashReport& aReport, TimePoint aObservedAt,
+                  int aAttemptsLeft);
 
   CrashExchangeSettings settings;
-  KeeperDirectory& keepers;
+  KeeperDirectory& owners;
   MembershipService& membership;
-  PoisonGuard& guard;
+  PoisonGuard& poisonFilter;
   const Clock& clock;
-  std::deque<Seen> seen; ///< The oldest first.
+  std::deque<ObservedCrash> observed; ///< Ordered by time, the oldest first.
 };
 
 } // namespace lagoonward
--- a/Lagoonward/Daemon/DemandExchange.cpp
+++ b/Lagoonward/Daemon/DemandExchange.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// The message; numbers above RequestType::FirstForeign are this folder's.
+/// Type of the message; request types above RequestType::FirstForeign belong to this folder.
 constexpr auto kDemand =
   static_cast<RequestType>(static_cast<std::uint16_t>(RequestType::FirstForeign) + 1);
 
@@ -51,7 +51,7 @@
   }
 };
 
-/// Whether a demand can be reckoned with.
+/// Whether all values are finite and not negative.
 bool
 IsPlausible(const ClientEntry& aEntry)
 {
@@ -68,12 +68,12 @@
   , membership(aMembership)
   , markets(aMarkets)
   , poison(aPoison)
-  , self(ToPeerKey(aOwnId))
+  , ownKey(ToPeerKey(aOwnId))
   , region(std::move(aRegion))
 {
   this->membership.Transport().OnRequest(kDemand, [this](PeerKey aSender, std::string_view aBytes,
                                                          const PeerTransport::Respond& aRespond) {
-    this->Take(aSender, aBytes);
+    this->HandleMessage(aSender, aBytes);
     aRespond(std::string());
   });
 }
@@ -106,10 +106,10 @@
 }
 
 void
-DemandExchange::Take(PeerKey aSender, std::string_view aBytes)
+DemandExchange::HandleMessage(PeerKey aSender, std::string_view aBytes)
 {
   const auto message = DecodePeerMessage<DemandMessage>(aBytes);
-  if (!message || aSender == this->self) {
+  if (!message || aSender == this->ownKey) {
     return;
   }
   this->poison.OnNotes(message->poison);
@@ -132,22 +132,23 @@
 std::vector<PeerAddress>
 DemandExchange::NextPeers()
 {
-  std::vector<PeerAddress> regional;
+  std::vector<PeerAddress> regionPeers;
   const PeerViewPtr view = this->membership.Peers();
   for (const Peer& peer : view->peers) {
     if (peer.info.region == this->region && peer.state != PeerState::Suspect) {
-      regional.push_back({ peer.key, peer.info.address, peer.info.port });
+      regionPeers.push_back({ peer.key, peer.info.address, peer.info.port });
     }
   }
-  if (regional.size() <= this->settings.peersPerInterval) {
-    return regional;
+  if (regionPeers.size() <= this->settings.peersPerInterval) {
+    return regionPeers;
   }
-  std::rotate(regional.begin(),
-              regional.begin() + static_cast<std::ptrdiff_t>(this->nextPeer % regional.size()),
-              regional.end());
+  std::rotate(regionPeers.begin(),
+              regionPeers.begin() +
+                static_cast<std::ptrdiff_t>(this->nextPeer % regionPeers.size()),
+              regionPeers.end());
   this->nextPeer += this->settings.peersPerInterval;
-  regional.resize(this->settings.peersPerInterval);
-  return regional;
+  regionPeers.resize(this->settings.peersPerInterval);
+  return regionPeers;
 }
 
 } // namespace lagoonward
--- a/Lagoonward/Daemon/DutyService.cpp
+++ b/Lagoonward/Daemon/DutyService.cpp
@@ -32,17 +32,21 @@
 UsageReporterPorts
 DutyService::MakeUsagePorts()
 {
-  UsageReporterPorts usagePorts;
-  usagePorts.log = this->ports.usageLog;
-  usagePorts.stream = "usage/" + this->facts.region;
-  usagePorts.page = this->settings.lease.leasePage;
-  usagePorts.report = this->ports.reportUsage;
-  usagePorts.mayAct = [this] { return this->MayAct(); };
-  usagePorts.onRefused = [this](Offset aFencing) { this->OnRefused(aFencing); };
-  usagePorts.countsOf = [this](std::int64_t aWindow) { return this->facts.load->UsageOf(aWindow); };
-  usagePorts.isDue = [this](Milliseconds aSince) { return this->facts.load->IsUsageDue(aSince); };
-  usagePorts.forget = [this](std::int64_t aBefore) { this->facts.load->ForgetUsage(aBefore); };
-  return usagePorts;
+  UsageReporterPorts reporterPorts;
+  reporterPorts.log = this->ports.usageLog;
+  reporterPorts.stream = "usage/" + this->facts.region;
+  reporterPorts.page = this->settings.lease.leasePage;
+  reporterPorts.report = this->ports.reportUsage;
+  reporterPorts.mayAct = [this] { return this->AuthorizedFencing(); };
+  reporterPorts.onRefused = [this](Offset aFencing) { this->OnStaleFencing(aFencing); };
+  reporterPorts.countsOf = [this](std::int64_t aWindow) {
+    return this->facts.load->UsageOf(aWindow);
+  };
+  reporterPorts.isDue = [this](Milliseconds aSince) {
+    return this->facts.load->IsUsageDue(aSince);
+  };
+  reporterPorts.forget = [this](std::int64_t aBefore) { this->facts.load->ForgetUsage(aBefore); };
+  return reporterPorts;
 }
 
 std::string_view
@@ -55,7 +59,7 @@
 DutyService::Start()
 {
   this->leaseThread = std::thread([this] { this->RunLease(); });
-  this->dutyThread = std::thread([this] { this->RunDuties(); });
+  this->taskThread = std::thread([this] { this->RunTasks(); });
   return boost::outcome_v2::success();
 }
 
@@ -75,7 +79,7 @@
   this->stopped.notify_all();
   this->ports.leaseLog->Interrupt();
   this->ports.usageLog->Interrupt();
-  for (std::thread* thread : { &this->leaseThread, &this->dutyThread }) {
+  for (std::thread* thread : { &this->leaseThread, &this->taskThread }) {
     if (thread->joinable()) {
       thread->join();
     }
@@ -89,24 +93,25 @@
   return !this->stopped.wait_for(lock, aSpan, [this] { return this->stopping; });
 }
 
-LeaderNote
+LeaderAnnouncement
 DutyService::OwnTenure() const
 {
   const LeaseStatus status = this->lease.Status();
-  return status.held ? LeaderNote{ this->facts.self, status.fencing, 0 } : LeaderNote{};
+  return status.held ? LeaderAnnouncement{ this->facts.self, status.fencing, 0 }
+                     : LeaderAnnouncement{};
 }
 
 void
 DutyService::RunLease()
 {
-  if (!this->Pause(this->settings.standAfter)) {
+  if (!this->Pause(this->settings.electionDelay)) {
     return;
   }
   for (;;) {
-    const LeaderNote heard = this->facts.load->Leader();
-    const bool isOther = !heard.id.empty() && heard.id != this->facts.self;
-    const Milliseconds pause = this->lease.Step(this->facts.load->ElectionRank(),
-                                                isOther ? Offset{ heard.fencing } : kNoOffset);
+    const LeaderAnnouncement announced = this->facts.load->Leader();
+    const bool isOtherLeader = !announced.id.empty() && announced.id != this->facts.self;
+    const Milliseconds pause = this->lease.Step(
+      this->facts.load->ElectionRank(), isOtherLeader ? Offset{ announced.fencing } : kNoOffset);
     if (!this->Pause(pause)) {
       return;
     }
@@ -114,39 +119,40 @@
 }
 
 void
-DutyService::RunDuties()
+DutyService::RunTasks()
 {
   while (this->Pause(this->settings.interval)) {
-    // The load is followed by all who may lead, so that a successor knows its peak
+    // Every candidate tracks the load, not only the leader, so that a successor knows its peak
     const RelayConfigurationPtr configuration = this->facts.inForce();
     if (configuration == nullptr) {
       continue;
     }
     this->usage.Step();
-    this->SizeServices();
+    this->ScaleServices();
   }
 }
 
 std::optional<Offset>
-DutyService::MayAct() const
+DutyService::AuthorizedFencing() const
 {
   const TimePoint now = this->clock.BootNow();
-  if (now < this->lease.OtherLedAt() + this->settings.quiet || now < this->refusedUntil) {
+  if (now < this->lease.OtherLeaderSeenAt() + this->settings.quiet ||
+      now < this->ordersPausedUntil) {
     return std::nullopt;
   }
   const auto grant = this->lease.Authorize(OrderKind::StartHost, true);
   if (!grant) {
     return std::nullopt;
   }
-  // Offsets count from zero, fencing numbers from one
+  // Offsets start at zero, fencing numbers at one
   return grant.value().fencing + 1;
 }
 
 void
-DutyService::OnRefused(Offset aFencing)
+DutyService::OnStaleFencing(Offset aFencing)
 {
   kLog.Event(LogLevel::Warning, "refused_as_stale", { { "fencing", aFencing } });
-  this->refusedUntil = this->clock.BootNow() + this->settings.refusedPause;
+  this->ordersPausedUntil = this->clock.BootNow() + this->settings.staleFencingPause;
   this->lease.Abandon(aFencing - 1);
 }
 
@@ -159,25 +165,25 @@
     if (endpoint.name != aService || endpoint.state != EndpointState::Live) {
       continue;
     }
-    DomainCount& there = live[endpoint.failureDomain];
-    ++(endpoint.reclaimable ? there.reclaimable : there.ordinary);
+    DomainCount& counts = live[endpoint.failureDomain];
+    ++(endpoint.reclaimable ? counts.reclaimable : counts.ordinary);
   }
   return live;
 }
 
 void
-DutyService::SizeServices()
+DutyService::ScaleServices()
 {
   const RelayConfigurationPtr configuration = this->facts.inForce();
   for (const RelayServiceFacts& service : configuration->services) {
     if (service.scaling) {
-      this->SizeService(service);
+      this->ScaleService(service);
     }
   }
 }
 
 double
-DutyService::SpeedOf(const std::string& aService) const
+DutyService::PrefillRate(const std::string& aService) const
 {
   for (const SpeedReport& report : this->facts.router->SpeedsInUse()) {
     if (report.machineClass == aService) {
@@ -188,16 +194,16 @@
 }
 
 void
-DutyService::SizeService(const RelayServiceFacts& aService)
+DutyService::ScaleService(const RelayServiceFacts& aService)
 {
-  auto place = this->sizings.find(aService.name);
-  if (place == this->sizings.end()) {
-    place =
+  auto known = this->sizings.find(aService.name);
+  if (known == this->sizings.end()) {
+    known =
       this->sizings.emplace(aService.name, DemandSizing(this->settings.sizing, this->clock)).first;
   }
-  DemandSizing& sizing = place->second;
+  DemandSizing& sizing = known->second;
   const EngineWork rate = this->facts.load->RateOf(aService.name);
-  // Until the endpoints' speed is known, the fleet found counts as needed
+  // Until the endpoints' speed is known, the existing fleet counts as the need
   if (const auto load = this->facts.router->EndpointSeconds(aService.name, rate)) {
     sizing.OnLoad(*load);
   }
@@ -205,26 +211,26 @@
                            aService.scaling->bootTime, aService.scaling->prices };
   const auto live = this->CountLive(aService.name);
   for (const SizingOrder& order : sizing.Plan(terms, live)) {
-    const auto fencing = this->MayAct();
+    const auto fencing = this->AuthorizedFencing();
     if (!fencing) {
       return;
     }
-    const auto sentOrder = this->ports.orderEndpoints(aService.name, order, *fencing);
-    kLog.Event("order", { { "service", aService.name },
-                          { "failure_domain", order.failureDomain },
-                          { "reclaimable", order.reclaimable },
-                          { "count", order.count },
-                          { "need", sizing.Need() },
-                          { "prompt_tokens_per_s", this->SpeedOf(aService.name) },
-                          { "fencing", *fencing },
-                          { "outcome",
-                            sentOrder ? "accepted" : GetErrorRule(sentOrder.error().kind).name } });
-    if (sentOrder) {
+    const auto outcome = this->ports.orderEndpoints(aService.name, order, *fencing);
+    kLog.Event("order",
+               { { "service", aService.name },
+                 { "failure_domain", order.failureDomain },
+                 { "reclaimable", order.reclaimable },
+                 { "count", order.count },
+                 { "need", sizing.Need() },
+                 { "prompt_tokens_per_s", this->PrefillRate(aService.name) },
+                 { "fencing", *fencing },
+                 { "outcome", outcome ? "accepted" : GetErrorRule(outcome.error().kind).name } });
+    if (outcome) {
       sizing.OnAccepted(order);
-    } else if (sentOrder.error().kind == ErrorKind::StaleFencing) {
-      this->OnRefused(*fencing);
+    } else if (outcome.error().kind == ErrorKind::StaleFencing) {
+      this->OnStaleFencing(*fencing);
       return;
-    } else if (sentOrder.error().kind == ErrorKind::NoEndpoint) {
+    } else if (outcome.error().kind == ErrorKind::NoEndpoint) {
       sizing.OnUnavailable(order);
     }
   }
--- a/Lagoonward/Daemon/DutyService.h
+++ b/Lagoonward/Daemon/DutyService.h
@@ -17,32 +17,36 @@
 
 namespace lagoonward {
 
-/// Where the duties of the daemon that leads reach outside. Calls block. Errors: StaleFencing when a higher
-/// number was seen, NoEndpoint when none are to be had now, PlatformUnavailable when no answer came.
+/// External services that the leader tasks call. Calls block. Errors: StaleFencing when the callee has seen a higher
+/// fencing number, NoEndpoint when no endpoint is available now, PlatformUnavailable when no response came.
 struct DutyPorts
 {
-  LogService* leaseLog = nullptr; ///< Used by one thread.
-  LogService* usageLog = nullptr; ///< Used by another.
+  LogService* leaseLog = nullptr; ///< Used by the lease thread only.
+  LogService* usageLog = nullptr; ///< Used by the task thread only.
   std::function<Result<void>(const UsageRecord&, Offset aFencing)> reportUsage;
   std::function<Result<void>(const std::string& aService, const SizingOrder&, Offset aFencing)>
     orderEndpoints;
 };
 
-/// Tunables of the duties.
+/// Tunables of the leader tasks.
 struct DutySettings
 {
-  FleetManagerSettings lease;   ///< How the lease is followed; the rest of it is not used.
-  Milliseconds interval{ 250 }; ///< Between two looks at what is due.
-  Milliseconds standAfter{
+  FleetManagerSettings lease;   ///< Only its members for following the lease are used.
+  Milliseconds interval{ 250 }; ///< Between two runs of the tasks.
+  Milliseconds electionDelay{
     1500
-  }; ///< From the start to the first look at the lease: by then a daemon knows the
-     ///< others, so that of those that start together only a few stand for election.
-  Milliseconds quiet{ 3500 };        ///< From the sight of another leader to the first own order.
-  Milliseconds refusedPause{ 4000 }; ///< After an order was refused as another leads.
+  }; ///< From the start to the first read of the lease. By then a daemon knows its
+     ///< peers, so that of daemons that start together only a few are candidates.
+  Milliseconds quiet{
+    3500
+  }; ///< From the last observation of another leader to the first own order.
+  Milliseconds staleFencingPause{
+    4000
+  }; ///< Without orders, after one was rejected with StaleFencing.
   DemandSizingSettings sizing;
 };
 
-/// What the duties are told of the daemon. All may be called from any thread.
+/// Inputs of the leader tasks from the rest of the daemon. All may be called from any thread.
 struct DutyFacts
 {
   std::string self; ///< This daemon's id.
@@ -50,14 +54,15 @@
   std::string incarnation;
   std::function<RelayConfigurationPtr()> inForce;
   const FleetStore* fleet = nullptr;
-  Router* router = nullptr;     ///< Knows how fast the endpoints are.
-  LoadExchange* load = nullptr; ///< Knows what all daemons count.
+  Router* router = nullptr;     ///< Source of the endpoints' measured speed.
+  LoadExchange* load = nullptr; ///< Source of usage and load over all daemons.
 };
 
-/// The duties that one daemon at a time does for all: reporting usage, ordering endpoints. All who may lead know what
-/// the daemons count (LoadExchange), so that a successor knows it too. Whoever holds the lease acts;
-/// after taking over from another it first keeps quiet, so that orders never go to and fro within the
-/// time in which the platform forbids it.
+/// Runs the leader tasks, which one daemon at a time does for the deployment: reporting usage and ordering endpoints.
+/// The daemon that holds the lease acts. All daemons that may lead receive the counts of all daemons (LoadExchange), so
+/// that a successor has them too. After another daemon has led, a new leader sends no order for `quiet`, so that
+/// orders never alternate between daemons within the time in which the platform forbids it. Has one thread for the lease
+/// and one for the tasks.
 class DutyService final : public Service
 {
 public:
@@ -70,29 +75,30 @@
 
   [[nodiscard]] std::string_view Name() const override;
   [[nodiscard]] Result<void> Start() override;
-  /// Gives the lease up.
+  /// Resigns the lease.
   void Drain() override;
   void Stop() override;
 
   /// Whether this daemon holds the lease. Any thread.
   [[nodiscard]] bool Leads() const { return this->lease.Status().held; }
 
-  /// This daemon while it holds the lease, else nobody. Any thread.
-  [[nodiscard]] LeaderNote OwnTenure() const;
+  /// This daemon while it holds the lease, else an empty announcement. Any thread.
+  [[nodiscard]] LeaderAnnouncement OwnTenure() const;
 
 private:
   void RunLease();
-  void RunDuties();
+  void RunTasks();
   [[nodiscard]] bool Pause(Milliseconds aSpan);
-  /// The fencing number if this daemon may act now.
-  [[nodiscard]] std::optional<Offset> MayAct() const;
-  void OnRefused(Offset aFencing);
+  /// The fencing number for an order sent now; nothing while this daemon may not act.
+  [[nodiscard]] std::optional<Offset> AuthorizedFencing() const;
+  void OnStaleFencing(Offset aFencing);
 
   [[nodiscard]] UsageReporterPorts MakeUsagePorts();
-  void SizeServices();
-  void SizeService(const RelayServiceFacts& aService);
-  /// Prompt tokens that an endpoint of the service reads a second, as it is taken here; zero while unknown. For logs.
-  [[nodiscard]] double SpeedOf(const std::string& aService) const;
+  void ScaleServices();
+  void ScaleService(const RelayServiceFacts& aService);
+  /// Prompt tokens per second that an endpoint of the service processes, as the router estimates it; zero while unknown.
+  /// For logs.
+  [[nodiscard]] double PrefillRate(const std::string& aService) const;
   [[nodiscard]] std::map<std::string, DomainCount> CountLive(const std::string& aService) const;
 
   DutySettings settings;
@@ -101,16 +107,16 @@
   const Clock& clock;
   LeaseFollower lease;
 
-  mutable std::mutex mutex; ///< Guards what follows.
+  mutable std::mutex mutex; ///< Guards `stopping`.
   std::condition_variable stopped;
   bool stopping = false;
 
-  /// The duty thread's own.
+  // Used by the task thread only
   UsageReporter usage;
   std::map<std::string, DemandSizing> sizings; ///< By service.
-  TimePoint refusedUntil;                      ///< On Clock::BootNow().
+  TimePoint ordersPausedUntil;                 ///< On Clock::BootNow().
   std::thread leaseThread;
-  std::thread dutyThread;
+  std::thread taskThread;
 };
 
 } // namespace lagoonward
--- a/Lagoonward/Daemon/FleetManager.cpp
+++ b/Lagoonward/Daemon/FleetManager.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// How often a drain looks whether the leases have been given up.
+/// Interval at which a drain checks whether the leases have been resigned.
 constexpr Milliseconds kResignCheck{ 50 };
 
 } // namespace
@@ -40,26 +40,26 @@
 Result<void>
 FleetManager::Start()
 {
-  this->watcher = std::jthread([this](const std::stop_token& aStop) { this->Watch(aStop); });
+  this->watcher = std::jthread([this](const std::stop_token& aStop) { this->WatchMarkets(aStop); });
   return boost::outcome_v2::success();
 }
 
 void
-FleetManager::Watch(const std::stop_token& aStop)
+FleetManager::WatchMarkets(const std::stop_token& aStop)
 {
   while (!aStop.stop_requested()) {
     for (const ConfigurationPtr& configuration : this->hooks.configurations()) {
       if (configuration->manifest.region == this->identity.region) {
-        this->Manage(configuration->market);
+        this->StartWorker(configuration->market);
       }
     }
     this->Sleep(aStop, this->settings.marketInterval);
   }
 }
 
-/// Begins to manage a market, unless that has begun.
+/// Starts the threads of a market, unless they are running.
 void
-FleetManager::Manage(const std::string& aMarket)
+FleetManager::StartWorker(const std::string& aMarket)
 {
   const std::lock_guard lock(this->mutex);
   if (this->resigned || this->workers.contains(aMarket)) {
@@ -88,27 +88,27 @@
   MarketLeader leader(this->settings, aWorker.market, this->identity.region, aWorker.lease,
                       { this->engines, this->cloud, this->weights }, this->clock);
   while (!aStop.stop_requested()) {
-    if (const auto scene = this->Scene(aWorker.market)) {
-      leader.Step(*scene);
+    if (const auto state = this->CollectState(aWorker.market)) {
+      leader.Step(*state);
     }
     this->Sleep(aStop, this->settings.roundInterval);
   }
 }
 
-std::optional<MarketScene>
-FleetManager::Scene(const std::string& aMarket) const
+std::optional<MarketState>
+FleetManager::CollectState(const std::string& aMarket) const
 {
-  MarketScene scene;
-  scene.fleet = this->hooks.fleet();
+  MarketState state;
+  state.fleet = this->hooks.fleet();
   for (ConfigurationPtr& configuration : this->hooks.configurations()) {
     if (configuration->market == aMarket) {
-      scene.configuration = std::move(configuration);
+      state.configuration = std::move(configuration);
     } else if (configuration->manifest.region == this->identity.region) {
-      scene.others.push_back(std::move(configuration));
+      state.others.push_back(std::move(configuration));
     }
   }
-  const bool known = scene.fleet != nullptr && scene.configuration != nullptr;
-  return known ? std::optional(std::move(scene)) : std::nullopt;
+  const bool isComplete = state.fleet != nullptr && state.configuration != nullptr;
+  return isComplete ? std::optional(std::move(state)) : std::nullopt;
 }
 
 void
@@ -134,7 +134,7 @@
 FleetManager::Drain()
 {
   this->Resign();
-  const TimePoint end = this->clock.Now() + this->settings.resignWait;
+  const TimePoint end = this->clock.Now() + this->settings.resignTimeout;
   const auto leads = [this](const LeaseStatus& aLease) {
     return aLease.holder == this->identity.daemonId;
   };
@@ -150,27 +150,27 @@
 void
 FleetManager::Stop()
 {
-  // The watcher first, so that no market comes in after
+  // The watcher ends first, so that no market is added afterwards
   this->watcher.request_stop();
   if (this->watcher.joinable()) {
     this->watcher.join();
   }
-  std::map<std::string, std::unique_ptr<Worker>, std::less<>> ending;
+  std::map<std::string, std::unique_ptr<Worker>, std::less<>> stopped;
   {
     const std::lock_guard lock(this->mutex);
     this->resigned = true;
-    ending.swap(this->workers);
+    stopped.swap(this->workers);
   }
   this->cloud.Interrupt();
   this->weights.Interrupt();
   this->engines.Interrupt();
-  for (const auto& [market, worker] : ending) {
+  for (const auto& [market, worker] : stopped) {
     worker->leaseThread.request_stop();
     worker->orderThread.request_stop();
     worker->log.Interrupt();
   }
   // Joins the threads
-  ending.clear();
+  stopped.clear();
 }
 
 std::vector<LeaseStatus>
--- a/Lagoonward/Daemon/FleetManager.h
+++ b/Lagoonward/Daemon/FleetManager.h
@@ -16,33 +16,33 @@
 
 namespace lagoonward {
 
-/// Who this daemon is and where the platform's services are.
+/// Identity of this daemon and addresses of the platform's services.
 struct FleetManagerIdentity
 {
   std::string daemonId;
-  std::string incarnation; ///< This run of this daemon; never reused.
+  std::string incarnation; ///< Identifies this run of this daemon; never reused.
   std::string region;
   std::string logUrl;
   std::string cloudUrl;
   std::string weightStoreUrl;
 };
 
-/// What the manager needs from the rest of the daemon. All safe from any thread.
+/// Inputs from the rest of the daemon. All may be called from any thread.
 struct FleetManagerHooks
 {
-  /// What is in force in each market that this daemon follows.
+  /// The active configuration of each market that this daemon follows.
   std::function<std::vector<ConfigurationPtr>()> configurations;
 
-  /// Daemons of the region that come before this one under rendezvous hashing of a key.
+  /// Number of daemons of the region that rank before this one under rendezvous hashing of a key.
   std::function<int(const std::string& aKey)> rank;
 
-  /// The latest picture of the fleet, or nullptr until the host list has been read.
+  /// The latest snapshot of the fleet, or nullptr until the host list has been read.
   std::function<FleetSnapshotPtr()> fleet;
 };
 
-/// Brings the fleet of each market of this daemon's region to its manifest, where this daemon is
-/// elected to. Each market has one thread for its lease and one for its orders, as the calls of both
-/// block. docs/design/fleet-manager.md.
+/// Reconciles the fleet of each market of this daemon's region with its manifest, where this daemon is the elected
+/// leader. Each market has one thread for its lease and one for its orders, since the calls of both block. See
+/// docs/design/fleet-manager.md.
 class FleetManager final : public Service
 {
 public:
@@ -55,14 +55,14 @@
   [[nodiscard]] std::string_view Name() const override { return kName; }
   [[nodiscard]] Result<void> Start() override;
 
-  /// Gives up all leases and stands for none again. Returns at once; from any thread.
+  /// Resigns all leases and is no candidate for any again. Does not block; any thread.
   void Resign();
 
-  /// Resigns and waits a moment until the log shows it.
+  /// Resigns, and waits for `resignTimeout` at most until the log shows that no lease is held.
   void Drain() override;
   void Stop() override;
 
-  /// The lease of each market that this daemon manages or would. From any thread.
+  /// The lease of each market of this daemon's region, whether or not it is the leader. Any thread.
   [[nodiscard]] std::vector<LeaseStatus> Leases() const;
 
 private:
@@ -72,17 +72,17 @@
 
     std::string market;
     std::string rankKey;
-    HttpLogService log; ///< Its own, interrupted when it stops.
+    HttpLogService log; ///< Not shared, so that it can be interrupted when the worker stops.
     LeaseFollower lease;
     std::jthread leaseThread;
     std::jthread orderThread;
   };
 
-  void Watch(const std::stop_token& aStop);
-  void Manage(const std::string& aMarket);
+  void WatchMarkets(const std::stop_token& aStop);
+  void StartWorker(const std::string& aMarket);
   void FollowLease(const std::stop_token& aStop, Worker& aWorker);
   void SendOrders(const std::stop_token& aStop, Worker& aWorker);
-  [[nodiscard]] std::optional<MarketScene> Scene(const std::string& aMarket) const;
+  [[nodiscard]] std::optional<MarketState> CollectState(const std::string& aMarket) const;
   void Sleep(const std::stop_token& aStop, Milliseconds aSpan);
 
   const FleetManagerSettings settings;
@@ -96,7 +96,8 @@
   std::mutex sleepMutex;
   std::condition_variable_any sleeping;
 
-  mutable std::mutex mutex; ///< Guards what follows; workers are never removed before Stop().
+  mutable std::mutex
+    mutex; ///< Guards `workers` and `resigned`; workers are never removed before Stop().
   std::map<std::string, std::unique_ptr<Worker>, std::less<>> workers;
   bool resigned = false;
   std::jthread watcher;
--- a/Lagoonward/Daemon/FleetManagerSettings.h
+++ b/Lagoonward/Daemon/FleetManagerSettings.h
@@ -6,36 +6,40 @@
 
 namespace lagoonward {
 
-/// Tunables of the fleet's management.
+/// Tunables of the FleetManager.
 struct FleetManagerSettings
 {
   Milliseconds roundInterval{ 1000 };  ///< Between two reconciliations of a market.
-  Milliseconds marketInterval{ 1000 }; ///< Between two looks at which markets are in force.
+  Milliseconds marketInterval{ 1000 }; ///< Between two checks for new markets.
 
-  /// Longest wait of one read of a lease stream by a daemon that may lead. Bounds how late it renews.
+  /// Longest wait of one read of a lease stream by a candidate. Bounds how late it renews.
   Milliseconds leaseWait{ 1000 };
 
-  /// Between two reads of a lease stream by a daemon that stands too far behind to be elected.
+  /// Between two reads of a lease stream by a daemon whose rank is too high to be a candidate.
   Milliseconds spectatorPause{ 5000 };
 
-  Milliseconds leaseRetryPause{ 500 }; ///< After a read of a lease stream that was not answered.
-  Milliseconds leaseIdlePause{ 50 };   ///< After a read that brought nothing.
-  Milliseconds leaseHeldPause{ 100 };  ///< Between two looks of a holder at whether it is to renew.
-  Milliseconds leaseHeardPause{ 250 }; ///< Between two looks while the leader itself is heard of.
-  int leasePage = 256;                 ///< Lease records read at once.
-
-  /// How long a drain waits until the log shows that the leases have been given up.
-  Milliseconds resignWait{ 2500 };
-
-  /// After taking the lead, a daemon only watches for this long if it has known the fleet for
-  /// `placement.settle` already.
-  Milliseconds takeoverPause{ 3000 };
-
-  int unansweredOrders =
-    3; ///< Orders in a row without an answer, after which an engine is left alone.
-  Milliseconds unknownWeightsPause{
+  Milliseconds leaseRetryPause{ 500 }; ///< After a read of a lease stream failed.
+  Milliseconds leaseIdlePause{ 50 };   ///< After a read without new records.
+  Milliseconds leaseRenewalCheckInterval{
+    100
+  }; ///< Between two checks of a holder whether a renewal is due.
+  Milliseconds leaderAnnouncedPause{
+    250
+  };                   ///< Between two steps while announcements of the leader arrive.
+  int leasePage = 256; ///< Lease records per read.
+
+  /// Longest wait of a drain until the log shows that the leases have been resigned.
+  Milliseconds resignTimeout{ 2500 };
+
+  /// Time without orders after a daemon becomes the leader, where it has known the fleet for at least `placement.settle`
+  /// less this time. Otherwise it waits until `placement.settle` has passed since it first knew the fleet.
+  Milliseconds takeoverDelay{ 3000 };
+
+  int maximumUnansweredOrders =
+    3; ///< Consecutive orders without a response, after which an order counts as refused by the engine.
+  Milliseconds unknownWeightsDelay{
     10'000
-  }; ///< Loads wait so long when the store has no such weights.
+  }; ///< Delay of loads after the weight store did not know the weights.
 
   LeaseSettings lease;
   PlacementSettings placement;
--- a/Lagoonward/Daemon/HttpOrderSender.cpp
+++ b/Lagoonward/Daemon/HttpOrderSender.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr int kConflict = 409;
-constexpr int kFirstRefusal = 300;
+constexpr int kFirstErrorStatus = 300;
 constexpr const char* kOverloaded = "overloaded";
 
 } // namespace
@@ -29,18 +29,20 @@
   PlatformCall call;
   call.method = "POST";
   call.path = "/v1/orders";
-  call.body = WriteOrder(aOrder, aFencing);
+  call.body = SerializeOrder(aOrder, aFencing);
   call.refusal = kOverloaded;
-  const auto answer = client.Call(call);
-  if (!answer) {
-    return answer.error();
+  const auto response = client.Call(call);
+  if (!response) {
+    return response.error();
   }
-  const int status = answer.value().status;
+  const int status = response.value().status;
   if (status == kConflict) {
-    return Error(ErrorKind::StaleFencing, "the engine knows a newer fencing number");
+    return Error(ErrorKind::StaleFencing,
+                 "the engine rejected the order: it has seen a newer fencing number");
   }
-  if (status >= kFirstRefusal) {
-    return Error(ErrorKind::EndpointRejected, fmt::format("the engine answered {}", status));
+  if (status >= kFirstErrorStatus) {
+    return Error(ErrorKind::EndpointRejected,
+                 fmt::format("the engine rejected the order with HTTP status {}", status));
   }
   return boost::outcome_v2::success();
 }
@@ -52,7 +54,7 @@
 }
 
 std::string
-WriteOrder(const PlacementOrder& aOrder, Offset aFencing)
+SerializeOrder(const PlacementOrder& aOrder, Offset aFencing)
 {
   nlohmann::json body{ { "order_id", aOrder.id },
                        { "fencing", aFencing },
--- a/Lagoonward/Daemon/HttpOrderSender.h
+++ b/Lagoonward/Daemon/HttpOrderSender.h
@@ -7,8 +7,8 @@
 
 namespace lagoonward {
 
-/// Orders over HTTP: `POST /v1/orders`, see docs/INTERFACES.md. Makes a connection per order, as there
-/// are few and to many engines. Safe from any thread.
+/// Sends orders over HTTP: `POST /v1/orders`, see docs/INTERFACES.md. Opens a connection per order, since orders are few
+/// and go to many engines. Thread-safe.
 class HttpOrderSender final : public OrderSender
 {
 public:
@@ -18,7 +18,7 @@
   [[nodiscard]] Result<void> Send(const Endpoint& aEndpoint, const PlacementOrder& aOrder,
                                   Offset aFencing) override;
 
-  /// Makes all later orders fail at once; one in progress takes up to the timeout.
+  /// All later orders fail at once. An order in progress takes up to the timeout.
   void Interrupt();
 
 private:
@@ -26,8 +26,8 @@
   std::atomic<bool> interrupted{ false };
 };
 
-/// The body of an order.
+/// Serializes an order as the JSON body of the request.
 [[nodiscard]] std::string
-WriteOrder(const PlacementOrder& aOrder, Offset aFencing);
+SerializeOrder(const PlacementOrder& aOrder, Offset aFencing);
 
 } // namespace lagoonward
--- a/Lagoonward/Daemon/KeeperQuery.cpp
+++ b/Lagoonward/Daemon/KeeperQuery.cpp
@@ -6,95 +6,97 @@
 namespace lagoonward {
 
 KeeperQuery::KeeperQuery(const KeeperQuerySettings& aSettings, RequestType aType,
-                         KeeperDirectory& aKeepers, MembershipService& aMembership,
+                         KeeperDirectory& aOwners, MembershipService& aMembership,
                          const Clock& aClock)
   : settings(aSettings)
   , type(aType)
-  , keepers(aKeepers)
+  , owners(aOwners)
   , membership(aMembership)
   , clock(aClock)
 {
 }
 
 void
-KeeperQuery::Ask(KeeperQuestion aQuestion)
+KeeperQuery::Start(KeyOwnerRequest aRequest)
 {
-  auto inquiry = std::make_shared<Inquiry>();
-  inquiry->question = std::move(aQuestion);
-  this->membership.Loop().Post([this, inquiry] {
-    inquiry->left = this->KeepersFor(inquiry->question.key);
-    this->AskNext(inquiry);
+  auto query = std::make_shared<Query>();
+  query->request = std::move(aRequest);
+  this->membership.Loop().Post([this, query] {
+    query->remaining = this->OwnersFor(query->request.key);
+    this->AskNext(query);
   });
 }
 
 std::vector<PeerAddress>
-KeeperQuery::KeepersFor(std::uint64_t aKey)
+KeeperQuery::OwnersFor(std::uint64_t aKey)
 {
-  std::vector<PeerAddress> others = this->keepers.OthersFor(aKey);
-  // They are asked from the back
+  std::vector<PeerAddress> others = this->owners.OthersFor(aKey);
+  // The next owner to ask stands at the back
   std::reverse(others.begin(), others.end());
   const TimePoint now = this->clock.Now();
-  const auto isSilent = [&](const PeerAddress& aKeeper) {
-    const auto found = this->silentAt.find(aKeeper.key);
-    return found != this->silentAt.end() && now - found->second < this->settings.distrust;
+  const auto isUnresponsive = [&](const PeerAddress& aOwner) {
+    const auto found = this->lastFailureAt.find(aOwner.key);
+    return found != this->lastFailureAt.end() &&
+           now - found->second < this->settings.deprioritizedFor;
   };
-  std::stable_partition(others.begin(), others.end(), isSilent);
+  std::stable_partition(others.begin(), others.end(), isUnresponsive);
   return others;
 }
 
 void
-KeeperQuery::AskNext(const InquiryPtr& aInquiry)
+KeeperQuery::AskNext(const QueryPtr& aQuery)
 {
-  if (aInquiry->left.empty()) {
-    End(aInquiry);
+  if (aQuery->remaining.empty()) {
+    Complete(aQuery);
     return;
   }
-  const PeerAddress keeper = aInquiry->left.back();
-  aInquiry->left.pop_back();
-  const std::uint64_t asked = ++aInquiry->asked;
+  const PeerAddress owner = aQuery->remaining.back();
+  aQuery->remaining.pop_back();
+  const std::uint64_t askedCount = ++aQuery->askedCount;
   this->membership.Transport().Request(
-    keeper, this->type, aInquiry->question.message, this->settings.timeout,
-    [this, aInquiry, asked, key = keeper.key](const Result<std::string>& aAnswer) {
-      this->OnAnswer(aInquiry, asked, key, aAnswer);
+    owner, this->type, aQuery->request.message, this->settings.timeout,
+    [this, aQuery, askedCount, key = owner.key](const Result<std::string>& aResponse) {
+      this->HandleResponse(aQuery, askedCount, key, aResponse);
     });
-  this->membership.Loop().After(this->settings.patience, [this, aInquiry, asked, keeper] {
-    if (aInquiry->isOpen && aInquiry->asked == asked) {
-      this->NoteSilence(keeper.key, true);
-      this->AskNext(aInquiry);
+  this->membership.Loop().After(this->settings.fallbackDelay, [this, aQuery, askedCount, owner] {
+    if (aQuery->isPending && aQuery->askedCount == askedCount) {
+      this->SetUnresponsive(owner.key, true);
+      this->AskNext(aQuery);
     }
   });
 }
 
 void
-KeeperQuery::OnAnswer(const InquiryPtr& aInquiry, std::uint64_t aAsked, PeerKey aKeeper,
-                      const Result<std::string>& aAnswer)
+KeeperQuery::HandleResponse(const QueryPtr& aQuery, std::uint64_t aAskedCount, PeerKey aOwner,
+                            const Result<std::string>& aResponse)
 {
-  const bool isLate = aInquiry->asked != aAsked || !aInquiry->isOpen;
-  const KeeperAnswer taken =
-    aAnswer ? aInquiry->question.take(aAnswer.value(), isLate) : KeeperAnswer::Malformed;
-  this->NoteSilence(aKeeper, taken == KeeperAnswer::Malformed);
-  if (taken == KeeperAnswer::Settled) {
-    End(aInquiry);
+  const bool isLate = aQuery->askedCount != aAskedCount || !aQuery->isPending;
+  const KeyOwnerResponseStatus status = aResponse
+                                          ? aQuery->request.onResponse(aResponse.value(), isLate)
+                                          : KeyOwnerResponseStatus::Malformed;
+  this->SetUnresponsive(aOwner, status == KeyOwnerResponseStatus::Malformed);
+  if (status == KeyOwnerResponseStatus::Completed) {
+    Complete(aQuery);
   } else if (!isLate) {
-    this->AskNext(aInquiry);
+    this->AskNext(aQuery);
   }
 }
 
 void
-KeeperQuery::NoteSilence(PeerKey aKeeper, bool aIsSilent)
+KeeperQuery::SetUnresponsive(PeerKey aOwner, bool aIsUnresponsive)
 {
-  if (aIsSilent) {
-    this->silentAt[aKeeper] = this->clock.Now();
+  if (aIsUnresponsive) {
+    this->lastFailureAt[aOwner] = this->clock.Now();
   } else {
-    this->silentAt.erase(aKeeper);
+    this->lastFailureAt.erase(aOwner);
   }
 }
 
 void
-KeeperQuery::End(const InquiryPtr& aInquiry)
+KeeperQuery::Complete(const QueryPtr& aQuery)
 {
-  if (std::exchange(aInquiry->isOpen, false)) {
-    aInquiry->question.end();
+  if (std::exchange(aQuery->isPending, false)) {
+    aQuery->request.onCompleted();
   }
 }
 
--- a/Lagoonward/Daemon/KeeperQuery.h
+++ b/Lagoonward/Daemon/KeeperQuery.h
@@ -12,77 +12,80 @@
 
 namespace lagoonward {
 
-/// Tunables of questions to keepers.
+/// Tunables of queries to key owners.
 struct KeeperQuerySettings
 {
-  /// Nobody waits longer for one keeper's answer: some ten times what it takes between failure domains.
-  Milliseconds patience{ 150 };
+  /// Wait for one owner's response before the next owner is asked: some ten times a round trip between failure domains.
+  Milliseconds fallbackDelay{ 150 };
 
-  /// For the message itself. Longer, as a connection on which one times out is closed, with all else that it carries.
+  /// Timeout of the message itself. It is longer than `fallbackDelay`, since a timeout closes the connection with
+  /// everything else that it carries.
   Milliseconds timeout{ 800 };
 
-  /// A keeper that has not answered is asked last for so long.
-  Milliseconds distrust{ 1000 };
+  /// An owner that did not respond is asked last for this long.
+  Milliseconds deprioritizedFor{ 1000 };
 };
 
-/// What came of one keeper's answer.
-enum class KeeperAnswer
+/// Outcome of one owner's response.
+enum class KeyOwnerResponseStatus
 {
-  Settled,   ///< Nobody else need be asked.
-  AskNext,   ///< It answered, and another one may know better.
-  Malformed, ///< It cannot be understood.
+  Completed, ///< The query is completed; no other owner is asked.
+  AskNext,   ///< Valid, but another owner may have a better response.
+  Malformed, ///< The response cannot be decoded.
 };
 
-/// One question to the keepers of a key.
-struct KeeperQuestion
+/// One request to the owners of a key.
+struct KeyOwnerRequest
 {
   std::uint64_t key = 0;
   std::string message;
 
-  /// Takes an answer. On the control thread; also for one that comes after its keeper was given up.
-  std::function<KeeperAnswer(std::string_view aAnswer, bool aIsLate)> take;
+  /// Handles a response. On the control thread; also called for a response that arrives after the next owner was asked
+  /// or the query was completed (`aIsLate`).
+  std::function<KeyOwnerResponseStatus(std::string_view aResponse, bool aIsLate)> onResponse;
 
-  /// Called once, on the control thread: it is settled, or no keeper is left.
-  std::function<void()> end;
+  /// Called once, on the control thread, when a response completes the query or no owner remains.
+  std::function<void()> onCompleted;
 };
 
-/// Asks the keepers of a key, the primary first, the backup where that one has no more to give or is silent.
+/// Asks the owners of a key, the primary first. The backup is asked where the primary's response does not complete the
+/// query, or does not arrive in time.
 class KeeperQuery
 {
 public:
   /// References must outlive it.
-  KeeperQuery(const KeeperQuerySettings& aSettings, RequestType aType, KeeperDirectory& aKeepers,
+  KeeperQuery(const KeeperQuerySettings& aSettings, RequestType aType, KeeperDirectory& aOwners,
               MembershipService& aMembership, const Clock& aClock);
 
-  /// Asks. Any thread.
-  void Ask(KeeperQuestion aQuestion);
+  /// Starts a query. Any thread.
+  void Start(KeyOwnerRequest aRequest);
 
 private:
-  /// One question, from its first keeper to its last.
-  struct Inquiry
+  /// State of one query, from its first owner to its last.
+  struct Query
   {
-    KeeperQuestion question;
-    std::vector<PeerAddress> left; ///< Keepers still to be asked, the next one last.
-    bool isOpen = true;
-    std::uint64_t asked = 0; ///< Keepers asked so far.
+    KeyOwnerRequest request;
+    std::vector<PeerAddress> remaining; ///< Owners not yet asked, the next one at the back.
+    bool isPending = true;
+    std::uint64_t askedCount = 0; ///< Owners asked so far.
   };
 
-  using InquiryPtr = std::shared_ptr<Inquiry>;
+  using QueryPtr = std::shared_ptr<Query>;
 
-  [[nodiscard]] std::vector<PeerAddress> KeepersFor(std::uint64_t aKey);
-  void AskNext(const InquiryPtr& aInquiry);
-  void OnAnswer(const InquiryPtr& aInquiry, std::uint64_t aAsked, PeerKey aKeeper,
-                const Result<std::string>& aAnswer);
-  void NoteSilence(PeerKey aKeeper, bool aIsSilent);
-  static void End(const InquiryPtr& aInquiry);
+  [[nodiscard]] std::vector<PeerAddress> OwnersFor(std::uint64_t aKey);
+  void AskNext(const QueryPtr& aQuery);
+  void HandleResponse(const QueryPtr& aQuery, std::uint64_t aAskedCount, PeerKey aOwner,
+                      const Result<std::string>& aResponse);
+  void SetUnresponsive(PeerKey aOwner, bool aIsUnresponsive);
+  static void Complete(const QueryPtr& aQuery);
 
   KeeperQuerySettings settings;
   RequestType type;
-  KeeperDirectory& keepers;
+  KeeperDirectory& owners;
   MembershipService& membership;
   const Clock& clock;
   std::unordered_map<PeerKey, TimePoint>
-    silentAt; ///< When a keeper was last asked in vain. Control thread.
+    lastFailureAt; ///< When an owner last failed to respond. Control thread only.
 };
 
 } // namespace lagoonward
--- a/Lagoonward/Daemon/LeaseFollower.cpp
+++ b/Lagoonward/Daemon/LeaseFollower.cpp
@@ -20,45 +20,45 @@
   , incarnation(std::move(aIncarnation))
   , log(aLog)
   , clock(aClock)
-  , keeper(
+  , leaseManager(
       std::make_unique<LeaseKeeper>(aSettings.lease, aClock, this->daemonId, this->incarnation))
-  , otherLedAt(aClock.BootNow())
+  , otherLeaderSeenAt(aClock.BootNow())
 {
 }
 
 Milliseconds
-LeaseFollower::Step(int aRank, Offset aHeardFencing)
+LeaseFollower::Step(int aRank, Offset aAnnouncedFencing)
 {
-  const bool candidate = aRank < this->settings.lease.candidates;
+  const bool isCandidate = aRank < this->settings.lease.candidates;
   Offset next = 0;
-  bool holds = false;
+  bool isHolder = false;
   std::optional<std::string> record;
   {
     const std::lock_guard lock(this->mutex);
-    this->keeper->SetRank(aRank);
-    next = this->keeper->NextOffset();
-    holds = this->keeper->Holds();
-    if (!holds && this->IsLed(aHeardFencing)) {
-      this->otherLedAt = this->clock.BootNow();
-      return this->settings.leaseHeardPause;
+    this->leaseManager->SetRank(aRank);
+    next = this->leaseManager->NextOffset();
+    isHolder = this->leaseManager->Holds();
+    if (!isHolder && this->IsCurrentTenure(aAnnouncedFencing)) {
+      this->otherLeaderSeenAt = this->clock.BootNow();
+      return this->settings.leaderAnnouncedPause;
     }
-    if (holds && !this->mustRead) {
-      record = this->keeper->NextAppend();
+    if (isHolder && !this->mustRead) {
+      record = this->leaseManager->NextAppend();
     }
   }
-  // A holder renews; what it appended is as good as read where nothing stands before it
-  if (holds && !this->mustRead) {
+  // A holder renews without reading: its append counts as read where no other record stands before it
+  if (isHolder && !this->mustRead) {
     this->mustRead = record && !this->Append(*record);
-    return this->mustRead ? Milliseconds(0) : this->settings.leaseHeldPause;
+    return this->mustRead ? Milliseconds(0) : this->settings.leaseRenewalCheckInterval;
   }
 
-  const bool waits = candidate && !this->mustRead;
+  const bool blocks = isCandidate && !this->mustRead;
   const auto page = this->log.Read(this->stream, next, this->settings.leasePage,
-                                   waits ? this->settings.leaseWait : Milliseconds(0));
-  if (page.has_value() != this->reachable) {
-    this->reachable = page.has_value();
-    kLog.Warning("Market {}: the log {} for the lease.", this->market,
-                 this->reachable ? "answers again" : "does not answer");
+                                   blocks ? this->settings.leaseWait : Milliseconds(0));
+  if (page.has_value() != this->logResponds) {
+    this->logResponds = page.has_value();
+    kLog.Warning("Market {}: the log {} to reads of the lease stream.", this->market,
+                 this->logResponds ? "responds again" : "does not respond");
   }
   if (!page) {
     const std::lock_guard lock(this->mutex);
@@ -67,11 +67,11 @@
   }
   this->mustRead = false;
 
-  // An append counts once it is read back, whatever its answer
+  // An append takes effect once it is read back, whatever its response was
   {
     const std::lock_guard lock(this->mutex);
-    this->Observe(page.value());
-    record = this->keeper->NextAppend();
+    this->ApplyPage(page.value());
+    record = this->leaseManager->NextAppend();
   }
   if (record) {
     this->mustRead = !this->Append(*record);
@@ -79,7 +79,7 @@
   if (record || !page.value().records.empty()) {
     return Milliseconds(0);
   }
-  return candidate ? this->settings.leaseIdlePause : this->settings.spectatorPause;
+  return isCandidate ? this->settings.leaseIdlePause : this->settings.spectatorPause;
 }
 
 bool
@@ -87,73 +87,75 @@
 {
   const auto offset = this->log.Append(this->stream, aRecord);
   if (!offset) {
-    kLog.Debug("Market {}: an append to the lease was not answered.", this->market);
+    kLog.Debug("Market {}: no response to an append to the lease stream; reads it back.",
+               this->market);
     return false;
   }
   const std::lock_guard lock(this->mutex);
-  if (offset.value() != this->keeper->NextOffset()) {
+  if (offset.value() != this->leaseManager->NextOffset()) {
     return false;
   }
   LogPage page;
   page.start = offset.value();
   page.end = offset.value() + 1;
   page.records.push_back({ offset.value(), aRecord });
-  this->Observe(page);
+  this->ApplyPage(page);
   return true;
 }
 
 bool
-LeaseFollower::IsLed(Offset aHeardFencing) const
+LeaseFollower::IsCurrentTenure(Offset aAnnouncedFencing) const
 {
   const LeaseInForce* current = this->ledger.InForce();
-  return aHeardFencing != kNoOffset && (current == nullptr || aHeardFencing >= current->fencing) &&
-         !this->resigned;
+  return aAnnouncedFencing != kNoOffset &&
+         (current == nullptr || aAnnouncedFencing >= current->fencing) && !this->resigned;
 }
 
 void
-LeaseFollower::Observe(const LogPage& aPage)
+LeaseFollower::ApplyPage(const LogPage& aPage)
 {
-  this->keeper->ObservePage(aPage);
+  this->leaseManager->ObservePage(aPage);
   this->ledger.ObserveStart(aPage.start);
-  const LeaseInForce* before = this->ledger.InForce();
-  // Whoever leads now, and each that led and gave up within this page
-  if (before == nullptr || before->record.duration > Milliseconds::zero()) {
-    this->NoteOthers();
+  const LeaseInForce* previous = this->ledger.InForce();
+  // Records the current leader and each one that led and resigned within this page
+  if (previous == nullptr || previous->record.duration > Milliseconds::zero()) {
+    this->RecordOtherLeader();
   }
   for (const LogRecord& record : aPage.records) {
     this->ledger.Apply(record.offset, record.data);
-    this->NoteOthers();
+    this->RecordOtherLeader();
   }
   this->LogChanges();
   if (this->abandoning && !this->resigned && !this->IsOwnTenure()) {
-    this->StandAgain();
+    this->RestartCandidacy();
   }
 }
 
 void
-LeaseFollower::NoteOthers()
+LeaseFollower::RecordOtherLeader()
 {
   const LeaseInForce* current = this->ledger.InForce();
-  const bool isOther = current != nullptr && current->record.holder != this->daemonId;
-  if (isOther || !this->ledger.IsCertain()) {
-    this->otherLedAt = this->clock.BootNow();
+  const bool isOtherLeader = current != nullptr && current->record.holder != this->daemonId;
+  if (isOtherLeader || !this->ledger.IsCertain()) {
+    this->otherLeaderSeenAt = this->clock.BootNow();
   }
 }
 
-/// A keeper that has resigned stands no more, so another run takes its place.
+/// Begins a new candidacy. A LeaseKeeper that has resigned is no candidate any more, so a new one replaces it.
 void
-LeaseFollower::StandAgain()
+LeaseFollower::RestartCandidacy()
 {
   this->abandoning = false;
-  ++this->runs;
-  this->keeper = std::make_unique<LeaseKeeper>(this->settings.lease, this->clock, this->daemonId,
-                                               this->IncarnationName());
+  ++this->candidacies;
+  this->leaseManager = std::make_unique<LeaseKeeper>(this->settings.lease, this->clock,
+                                                     this->daemonId, this->IncarnationName());
 }
 
 std::string
 LeaseFollower::IncarnationName() const
 {
-  return this->runs == 0 ? this->incarnation : fmt::format("{}.{}", this->incarnation, this->runs);
+  return this->candidacies == 0 ? this->incarnation
+                                : fmt::format("{}.{}", this->incarnation, this->candidacies);
 }
 
 bool
@@ -169,25 +171,25 @@
 {
   LeaseStatus status;
   const LeaseInForce* current = this->ledger.InForce();
-  status.holder = this->keeper->Leader();
-  status.held = this->keeper->Holds();
+  status.holder = this->leaseManager->Leader();
+  status.held = this->leaseManager->Holds();
   status.fencing = current == nullptr ? kNoOffset : current->fencing;
-  if (status.holder != this->logged.holder || status.fencing != this->logged.fencing) {
+  if (status.holder != this->lastLogged.holder || status.fencing != this->lastLogged.fencing) {
     kLog.Info("Market {}: {} leads with fencing number {}.", this->market,
               status.holder.empty() ? "nobody" : status.holder, status.fencing);
   }
-  if (status.held != this->logged.held) {
+  if (status.held != this->lastLogged.held) {
     kLog.Info("Market {}: this daemon {} the lease.", this->market,
               status.held ? "holds" : "no longer holds");
   }
-  this->logged = std::move(status);
+  this->lastLogged = std::move(status);
 }
 
 Result<OrderGrant>
 LeaseFollower::Authorize(OrderKind aKind, bool aChecksFencing) const
 {
   const std::lock_guard lock(this->mutex);
-  return this->keeper->Authorize(aKind, aChecksFencing);
+  return this->leaseManager->Authorize(aKind, aChecksFencing);
 }
 
 void
@@ -195,7 +197,7 @@
 {
   const std::lock_guard lock(this->mutex);
   this->resigned = true;
-  this->keeper->Resign();
+  this->leaseManager->Resign();
 }
 
 void
@@ -206,17 +208,18 @@
   if (current == nullptr || current->fencing != aFencing || !this->IsOwnTenure()) {
     return;
   }
-  kLog.Warning("Market {}: an endpoint knows a newer fencing number than {}; gives it up.",
-               this->market, aFencing);
+  kLog.Warning(
+    "Market {}: an endpoint has seen a fencing number newer than {}; resigns this tenure.",
+    this->market, aFencing);
   this->abandoning = true;
-  this->keeper->Resign();
+  this->leaseManager->Resign();
 }
 
 TimePoint
-LeaseFollower::OtherLedAt() const
+LeaseFollower::OtherLeaderSeenAt() const
 {
   const std::lock_guard lock(this->mutex);
-  return this->otherLedAt;
+  return this->otherLeaderSeenAt;
 }
 
 LeaseStatus
@@ -226,8 +229,8 @@
   const LeaseInForce* current = this->ledger.InForce();
   LeaseStatus status;
   status.market = this->market;
-  status.holder = this->keeper->Leader();
-  status.held = this->keeper->Holds();
+  status.holder = this->leaseManager->Leader();
+  status.held = this->leaseManager->Holds();
   status.fencing = current == nullptr ? kNoOffset : current->fencing;
   return status;
 }
--- a/Lagoonward/Daemon/LeaseFollower.h
+++ b/Lagoonward/Daemon/LeaseFollower.h
@@ -8,60 +8,63 @@
 
 namespace lagoonward {
 
-/// A lease as `/status` shows it.
+/// State of a lease, for `/status`.
 struct LeaseStatus
 {
   std::string market;
-  std::string holder;         ///< Daemon that leads as far as the log was read; empty for none.
-  bool held = false;          ///< Whether this daemon holds it now.
-  Offset fencing = kNoOffset; ///< Of the tenure in force.
+  std::string
+    holder; ///< Daemon that leads according to the log as far as it was read; empty for none.
+  bool held = false;          ///< Whether this daemon holds the lease now.
+  Offset fencing = kNoOffset; ///< Of the current tenure.
 };
 
-/// Takes part in the election of one market's leader: reads the lease stream, appends what the
-/// LeaseKeeper asks for, logs each change. Step() is called by one thread in a loop, apart from the
-/// one that sends orders, so that slow orders hold up no renewal. The rest is safe from any thread.
+/// Takes part in the election of one market's leader: reads the lease stream, appends the records that the LeaseKeeper
+/// requests, and logs each change of leader. Step() is called in a loop by one thread, which is not the one that sends
+/// orders, so that slow orders do not delay a renewal. The other methods are thread-safe.
 class LeaseFollower
 {
 public:
   /// References must outlive it.
-  /// @param aIncarnation  this run of the daemon
+  /// @param aIncarnation  identifies this run of the daemon
   LeaseFollower(const FleetManagerSettings& aSettings, std::string aMarket,
                 const std::string& aRegion, std::string aDaemonId, std::string aIncarnation,
                 LogService& aLog, const Clock& aClock);
 
-  /// One read, and one append if it is time. A holder whose appends come straight after what it has read needs no read: a
-  /// record of another one would stand between. Nor does one that hears from the leader itself.
-  /// @param aRank          place among the region's daemons; zero stands first
-  /// @param aHeardFencing  fencing number of another daemon that said just now that it leads; kNoOffset for none
+  /// Reads the stream once, and appends a record if one is due. A holder skips the read while its append directly follows
+  /// the records that it has read: a record of another daemon would stand between. A daemon that receives the leader's
+  /// own announcements skips the read, too.
+  /// @param aRank              rank among the region's daemons; zero is the first candidate
+  /// @param aAnnouncedFencing  fencing number of another daemon that has just announced that it leads; kNoOffset for none
   /// @return how long to wait before the next step
-  [[nodiscard]] Milliseconds Step(int aRank, Offset aHeardFencing = kNoOffset);
+  [[nodiscard]] Milliseconds Step(int aRank, Offset aAnnouncedFencing = kNoOffset);
 
   /// See LeaseKeeper::Authorize().
   [[nodiscard]] Result<OrderGrant> Authorize(OrderKind aKind, bool aChecksFencing) const;
 
-  /// Gives the lease up for good, for a drain.
+  /// Resigns the lease and is no candidate again, for a drain.
   void Resign();
 
-  /// Gives up the tenure with that number, as an endpoint has seen a newer one, and stands for
-  /// election anew after that. Another tenure is left alone.
+  /// Resigns the tenure with that fencing number, since an endpoint has seen a newer one, and becomes a candidate again
+  /// afterwards. Has no effect on any other tenure.
   void Abandon(Offset aFencing);
 
   [[nodiscard]] LeaseStatus Status() const;
 
-  /// When this daemon last had to take another daemon for the leader, on Clock::BootNow(): another's record
-  /// was in force, for however short a time, or it is not known whose was. At first the moment of construction,
-  /// since an earlier run on this host may have led and been succeeded.
-  [[nodiscard]] TimePoint OtherLedAt() const;
+  /// Last time, on Clock::BootNow(), at which another daemon led or may have led: its record was in force, for however
+  /// short a time, or it was unknown whose record was. Initially the time of construction, since an earlier run on this
+  /// host may have led and been succeeded.
+  [[nodiscard]] TimePoint OtherLeaderSeenAt() const;
 
 private:
-  void Observe(const LogPage& aPage);
-  /// Appends a record. @return whether it is known to have taken effect, and nothing else was appended before it
+  void ApplyPage(const LogPage& aPage);
+  /// Appends a record.
+  /// @return whether it is known to have taken effect, directly after the records read so far
   [[nodiscard]] bool Append(const std::string& aRecord);
-  /// Whether the leader that was heard of is another one than this daemon knows to have gone.
-  [[nodiscard]] bool IsLed(Offset aHeardFencing) const;
-  void NoteOthers();
+  /// Whether the announced tenure is the current or a newer one. An older one is known to have ended.
+  [[nodiscard]] bool IsCurrentTenure(Offset aAnnouncedFencing) const;
+  void RecordOtherLeader();
   void LogChanges();
-  void StandAgain();
+  void RestartCandidacy();
   [[nodiscard]] bool IsOwnTenure() const;
   [[nodiscard]] std::string IncarnationName() const;
 
@@ -72,17 +75,18 @@
   const std::string incarnation;
   LogService& log;
   const Clock& clock;
-  bool reachable = true; ///< Step() only, like the next one.
-  bool mustRead = true;  ///< What became of the last append is not known.
+  bool logResponds = true; ///< Whether the log responds. Used by Step() only, like `mustRead`.
+  bool mustRead =
+    true; ///< The outcome of the last append is unknown, so that it must be read back.
 
-  mutable std::mutex mutex; ///< Guards everything below.
-  int runs = 0;             ///< How often it has stood for election anew.
-  std::unique_ptr<LeaseKeeper> keeper;
-  LeaseLedger ledger; ///< The same stream, for whose tenure it is.
-  TimePoint otherLedAt;
+  mutable std::mutex mutex; ///< Guards all members below.
+  int candidacies = 0;      ///< Number of candidacies begun after an abandoned tenure.
+  std::unique_ptr<LeaseKeeper> leaseManager;
+  LeaseLedger ledger; ///< Reads the same stream to determine the current tenure.
+  TimePoint otherLeaderSeenAt;
   bool resigned = false;
   bool abandoning = false;
-  LeaseStatus logged;
+  LeaseStatus lastLogged;
 };
 
 } // namespace lagoonward
--- a/Lagoonward/Daemon/LimitLoans.cpp
+++ b/Lagoonward/Daemon/LimitLoans.cpp
@@ -96,13 +96,14 @@
 LimitLoans::Borrow(const LoanRequest& aRequest, std::function<void()> aSettled)
 {
   const auto progress = std::make_shared<Progress>();
-  KeeperQuestion question;
+  KeyOwnerRequest question;
   question.key = aRequest.client;
   question.message = EncodeMessage(LoanMessage{ aRequest });
-  question.take = [this, progress, request = aRequest](std::string_view aAnswer, bool aIsLate) {
+  question.onResponse = [this, progress, request = aRequest](std::string_view aAnswer,
+                                                             bool aIsLate) {
     return this->Take(request, *progress, aAnswer, aIsLate);
   };
-  question.end = [this, progress, request = aRequest, settled = std::move(aSettled)] {
+  question.onCompleted = [this, progress, request = aRequest, settled = std::move(aSettled)] {
     if (!progress->isLent && !progress->isRefused) {
       this->admission.OnLoan(request, std::nullopt);
       kLog.Event(LogLevel::Warning, "loan_unanswered",
@@ -110,10 +111,10 @@
     }
     settled();
   };
-  this->query.Ask(std::move(question));
+  this->query.Start(std::move(question));
 }
 
-KeeperAnswer
+KeyOwnerResponseStatus
 LimitLoans::Take(const LoanRequest& aRequest, Progress& aProgress, std::string_view aAnswer,
                  bool aIsLate)
 {
@@ -121,20 +122,20 @@
   const bool isGood = reply.has_value() && IsPlausible(reply.value().loan.tokens) &&
                       IsPlausible(reply.value().loan.wait);
   if (!isGood) {
-    return KeeperAnswer::Malformed;
+    return KeyOwnerResponseStatus::Malformed;
   }
   const Loan& loan = reply.value().loan;
   if (loan.tokens > 0) {
     aProgress.isLent = true;
     this->admission.OnLoan(aRequest, loan);
-    return KeeperAnswer::Settled;
+    return KeyOwnerResponseStatus::Completed;
   }
   // Who keeps no reserve, as it sees the daemons, has not refused
   if (loan.wait > 0 && !aIsLate) {
     aProgress.isRefused = true;
     this->admission.OnLoan(aRequest, loan);
   }
-  return KeeperAnswer::AskNext;
+  return KeyOwnerResponseStatus::AskNext;
 }
 
 } // namespace lagoonward
--- a/Lagoonward/Daemon/LimitLoans.h
+++ b/Lagoonward/Daemon/LimitLoans.h
@@ -34,8 +34,8 @@
   };
 
   [[nodiscard]] std::string Serve(std::string_view aBytes);
-  [[nodiscard]] KeeperAnswer Take(const LoanRequest& aRequest, Progress& aProgress,
-                                  std::string_view aAnswer, bool aIsLate);
+  [[nodiscard]] KeyOwnerResponseStatus Take(const LoanRequest& aRequest, Progress& aProgress,
+                                            std::string_view aAnswer, bool aIsLate);
 
   KeeperDirectory& keepers;
   Admission& admission;
--- a/Lagoonward/Daemon/MarketLeader.cpp
+++ b/Lagoonward/Daemon/MarketLeader.cpp
@@ -28,7 +28,7 @@
   return OrderKind::StopHost;
 }
 
-/// What an order is about, for the log.
+/// Describes the object of an order, for the log.
 std::string
 Describe(const PlacementOrder& aOrder)
 {
@@ -48,41 +48,41 @@
 } // namespace
 
 MarketLeader::MarketLeader(const FleetManagerSettings& aSettings, std::string aMarket,
-                           std::string aRegion, LeaseFollower& aLease, OrderOutlets aOutlets,
+                           std::string aRegion, LeaseFollower& aLease, OrderTargets aTargets,
                            const Clock& aClock)
   : settings(aSettings)
   , market(std::move(aMarket))
   , region(std::move(aRegion))
   , lease(aLease)
-  , outlets(aOutlets)
+  , targets(aTargets)
   , clock(aClock)
 {
 }
 
 void
-MarketLeader::Step(const MarketScene& aScene)
+MarketLeader::Step(const MarketState& aState)
 {
-  const Manifest& manifest = aScene.configuration->manifest;
-  this->knownSince = this->knownSince.value_or(this->clock.Now());
-  if (manifest.region != this->region || !this->TakeLead(manifest.ordersFenced)) {
+  const Manifest& manifest = aState.configuration->manifest;
+  this->fleetKnownSince = this->fleetKnownSince.value_or(this->clock.Now());
+  if (manifest.region != this->region || !this->UpdateTenure(manifest.ordersFenced)) {
     this->placement.reset();
     return;
   }
-  PlacementView view{ manifest, aScene.configuration->offset, *aScene.fleet, {}, {} };
-  for (const ConfigurationPtr& other : aScene.others) {
+  PlacementView view{ manifest, aState.configuration->offset, *aState.fleet, {}, {} };
+  for (const ConfigurationPtr& other : aState.others) {
     view.others.push_back(&other->manifest);
   }
-  this->weightsReady.clear();
-  this->weightsWait = false;
+  this->confirmedWeights.clear();
+  this->loadsDelayed = false;
   const auto orders = this->placement->Reconcile(view, this->clock.Now(), this->clock.WallNow());
   for (const PlacementOrder& order : orders) {
-    this->CarryOut(order, aScene);
+    this->Execute(order, aState);
   }
 }
 
-/// Whether this daemon leads. A new tenure begins without what an older one remembered.
+/// Returns whether this daemon leads. A new tenure starts with empty state.
 bool
-MarketLeader::TakeLead(bool aFenced)
+MarketLeader::UpdateTenure(bool aFenced)
 {
   const auto grant = this->lease.Authorize(OrderKind::Load, aFenced);
   if (!grant) {
@@ -90,23 +90,23 @@
   }
   if (!this->placement || this->tenure != grant.value().fencing) {
     this->tenure = grant.value().fencing;
-    this->unanswered.clear();
-    // Reports that have come in for long need less time to catch up
-    const TimePoint shortest =
-      this->clock.Now() + this->settings.takeoverPause - this->settings.placement.settle;
+    this->unansweredOrders.clear();
+    // A daemon that has known the fleet for a while needs less time until its snapshot is complete
+    const TimePoint earliest =
+      this->clock.Now() + this->settings.takeoverDelay - this->settings.placement.settle;
     this->placement.emplace(this->settings.placement, this->market, this->region,
-                            std::max(*this->knownSince, shortest));
+                            std::max(*this->fleetKnownSince, earliest));
   }
   return true;
 }
 
 void
-MarketLeader::CarryOut(const PlacementOrder& aOrder, const MarketScene& aScene)
+MarketLeader::Execute(const PlacementOrder& aOrder, const MarketState& aState)
 {
   switch (aOrder.kind) {
     case Kind::Load:
     case Kind::Unload:
-      this->CarryToEngine(aOrder, aScene);
+      this->SendToEngine(aOrder, aState);
       break;
     case Kind::StartHost:
       this->StartHost(aOrder);
@@ -118,7 +118,7 @@
 }
 
 std::optional<OrderGrant>
-MarketLeader::Ask(const PlacementOrder& aOrder, bool aFenced) const
+MarketLeader::Authorize(const PlacementOrder& aOrder, bool aFenced) const
 {
   const auto grant = this->lease.Authorize(ToOrderKind(aOrder.kind), aFenced);
   if (!grant || grant.value().fencing != this->tenure ||
@@ -129,64 +129,67 @@
 }
 
 void
-MarketLeader::CarryToEngine(const PlacementOrder& aOrder, const MarketScene& aScene)
+MarketLeader::SendToEngine(const PlacementOrder& aOrder, const MarketState& aState)
 {
-  const Endpoint* endpoint = aScene.fleet->Find(aOrder.endpoint);
-  const bool ready = endpoint != nullptr && (aOrder.kind != Kind::Load || this->HasWeights(aOrder));
+  const Endpoint* endpoint = aState.fleet->Find(aOrder.endpoint);
+  const bool isReady =
+    endpoint != nullptr && (aOrder.kind != Kind::Load || this->ConfirmWeights(aOrder));
   const auto grant =
-    ready ? this->Ask(aOrder, aScene.configuration->manifest.ordersFenced) : std::nullopt;
+    isReady ? this->Authorize(aOrder, aState.configuration->manifest.ordersFenced) : std::nullopt;
   if (!grant) {
     this->placement->OrderWithdrawn(aOrder);
     return;
   }
-  this->TakeEngineAnswer(aOrder, *grant,
-                         this->outlets.engines.Send(*endpoint, aOrder, grant->fencing));
+  this->HandleEngineResponse(aOrder, *grant,
+                             this->targets.engines.Send(*endpoint, aOrder, grant->fencing));
 }
 
 void
-MarketLeader::TakeEngineAnswer(const PlacementOrder& aOrder, const OrderGrant& aGrant,
-                               const Result<void>& aAnswer)
+MarketLeader::HandleEngineResponse(const PlacementOrder& aOrder, const OrderGrant& aGrant,
+                                   const Result<void>& aResponse)
 {
-  if (aAnswer) {
-    this->unanswered.erase(aOrder.endpoint);
+  if (aResponse) {
+    this->unansweredOrders.erase(aOrder.endpoint);
     this->LogDecision(aOrder, aGrant.fencing, "accepted");
     return;
   }
-  this->LogDecision(aOrder, aGrant.fencing, aAnswer.error().message);
-  if (aAnswer.error().kind == ErrorKind::StaleFencing) {
+  this->LogDecision(aOrder, aGrant.fencing, aResponse.error().message);
+  if (aResponse.error().kind == ErrorKind::StaleFencing) {
     this->placement->OrderWithdrawn(aOrder);
     this->lease.Abandon(aGrant.fencing);
     return;
   }
-  const bool unclear = aAnswer.error().kind == ErrorKind::PlatformUnavailable;
-  if (unclear && ++this->unanswered[aOrder.endpoint] < this->settings.unansweredOrders) {
+  const bool isUnknown = aResponse.error().kind == ErrorKind::PlatformUnavailable;
+  if (isUnknown &&
+      ++this->unansweredOrders[aOrder.endpoint] < this->settings.maximumUnansweredOrders) {
     this->placement->OrderWithdrawn(aOrder);
     return;
   }
-  this->unanswered.erase(aOrder.endpoint);
+  this->unansweredOrders.erase(aOrder.endpoint);
   this->placement->OrderRefused(aOrder, this->clock.Now());
 }
 
-/// Asks the weight store once for each model version and round, so that asking takes little of its
-/// rate away from the engines.
+/// Checks the weights with the weight store, once per model version and round, so that the checks take little of the
+/// store's request rate away from the engines.
 bool
-MarketLeader::HasWeights(const PlacementOrder& aOrder)
+MarketLeader::ConfirmWeights(const PlacementOrder& aOrder)
 {
-  const std::string key = aOrder.model + "@" + aOrder.version;
-  if (this->weightsWait || this->weightsReady.contains(key)) {
-    return !this->weightsWait;
+  const std::string modelVersion = aOrder.model + "@" + aOrder.version;
+  if (this->loadsDelayed || this->confirmedWeights.contains(modelVersion)) {
+    return !this->loadsDelayed;
   }
-  const auto answer = this->outlets.weights.Check(aOrder.model, aOrder.version);
-  if (answer) {
-    this->weightsReady.insert(key);
+  const auto response = this->targets.weights.Check(aOrder.model, aOrder.version);
+  if (response) {
+    this->confirmedWeights.insert(modelVersion);
     return true;
   }
-  const Milliseconds delay = answer.error().kind == ErrorKind::UnknownModel
-                               ? this->settings.unknownWeightsPause
-                               : answer.error().retryAfter.value_or(this->settings.roundInterval);
-  kLog.Warning("Market {}: loads wait {} ms for the weights of {}: {}.", this->market,
-               delay.count(), key, answer.error().message);
-  this->weightsWait = true;
+  const Milliseconds delay = response.error().kind == ErrorKind::UnknownModel
+                               ? this->settings.unknownWeightsDelay
+                               : response.error().retryAfter.value_or(this->settings.roundInterval);
+  kLog.Warning(
+    "Market {}: delays loads by {} ms, as the weight store did not confirm the weights of {}: {}.",
+    this->market, delay.count(), modelVersion, response.error().message);
+  this->loadsDelayed = true;
   this->placement->DelayLoads(this->clock.Now() + delay);
   return false;
 }
@@ -194,14 +197,14 @@
 void
 MarketLeader::StartHost(const PlacementOrder& aOrder)
 {
-  const auto grant = this->Ask(aOrder, false);
+  const auto grant = this->Authorize(aOrder, false);
   if (!grant) {
     return;
   }
-  const auto host = this->outlets.cloud.StartHost(aOrder.host);
+  const auto host = this->targets.cloud.StartHost(aOrder.host);
   if (host) {
     this->placement->HostStarted(aOrder.id, host.value(), this->clock.Now());
-    this->LogDecision(aOrder, grant->fencing, "it is " + host.value());
+    this->LogDecision(aOrder, grant->fencing, "started as " + host.value());
     return;
   }
   this->LogDecision(aOrder, grant->fencing, host.error().message);
@@ -213,11 +216,11 @@
 void
 MarketLeader::StopHost(const PlacementOrder& aOrder)
 {
-  const auto grant = this->Ask(aOrder, false);
+  const auto grant = this->Authorize(aOrder, false);
   if (!grant) {
     return;
   }
-  const auto stopped = this->outlets.cloud.StopHost(aOrder.endpoint);
+  const auto stopped = this->targets.cloud.StopHost(aOrder.endpoint);
   this->LogDecision(aOrder, grant->fencing, stopped ? "accepted" : stopped.error().message);
 }
 
@@ -225,8 +228,8 @@
 MarketLeader::LogDecision(const PlacementOrder& aOrder, Offset aFencing,
                           std::string_view aOutcome) const
 {
-  kLog.Info("Market {}: {} {}, fencing number {}, as {}: {}.", this->market, ToString(aOrder.kind),
-            Describe(aOrder), aFencing, aOrder.reason, aOutcome);
+  kLog.Info("Market {}: order {} {}, fencing number {}, reason: {}, outcome: {}.", this->market,
+            ToString(aOrder.kind), Describe(aOrder), aFencing, aOrder.reason, aOutcome);
 }
 
 } // namespace lagoonward
--- a/Lagoonward/Daemon/MarketLeader.h
+++ b/Lagoonward/Daemon/MarketLeader.h
@@ -11,60 +11,63 @@
 
 namespace lagoonward {
 
-/// What one round of a market's management looks at.
-struct MarketScene
+/// Inputs of one reconciliation of a market.
+struct MarketState
 {
-  ConfigurationPtr configuration;       ///< In force in the market.
-  std::vector<ConfigurationPtr> others; ///< In force in the other markets of the region.
+  ConfigurationPtr configuration;       ///< The market's active configuration.
+  std::vector<ConfigurationPtr> others; ///< Active configurations of the region's other markets.
   FleetSnapshotPtr fleet;
 };
 
-/// Where a leader's orders go. All outlive it.
-struct OrderOutlets
+/// Receivers of a leader's orders. All must outlive the MarketLeader.
+struct OrderTargets
 {
   OrderSender& engines;
   CloudService& cloud;
   WeightStore& weights;
 };
 
-/// While this daemon leads a market: reconciles its fleet with the manifest and carries the orders
-/// out, each with leave of its own. Level-triggered; what fails is given again in a later round.
-/// Blocks in the outlets' calls; used by one thread.
+/// While this daemon leads a market: reconciles the market's fleet with the manifest and executes the orders, each with
+/// an authorization of its own from the lease. Level-triggered: a failed order is issued again by a later reconciliation.
+/// Blocks in the calls of the OrderTargets; used by one thread.
 class MarketLeader
 {
 public:
   MarketLeader(const FleetManagerSettings& aSettings, std::string aMarket, std::string aRegion,
-               LeaseFollower& aLease, OrderOutlets aOutlets, const Clock& aClock);
+               LeaseFollower& aLease, OrderTargets aTargets, const Clock& aClock);
 
-  /// One round. Does nothing while another daemon leads.
-  void Step(const MarketScene& aScene);
+  /// One reconciliation. Does nothing while this daemon does not lead.
+  void Step(const MarketState& aState);
 
 private:
-  [[nodiscard]] bool TakeLead(bool aFenced);
-  void CarryOut(const PlacementOrder& aOrder, const MarketScene& aScene);
-  void CarryToEngine(const PlacementOrder& aOrder, const MarketScene& aScene);
-  void TakeEngineAnswer(const PlacementOrder& aOrder, const OrderGrant& aGrant,
-                        const Result<void>& aAnswer);
+  [[nodiscard]] bool UpdateTenure(bool aFenced);
+  void Execute(const PlacementOrder& aOrder, const MarketState& aState);
+  void SendToEngine(const PlacementOrder& aOrder, const MarketState& aState);
+  void HandleEngineResponse(const PlacementOrder& aOrder, const OrderGrant& aGrant,
+                            const Result<void>& aResponse);
   void StartHost(const PlacementOrder& aOrder);
   void StopHost(const PlacementOrder& aOrder);
-  [[nodiscard]] bool HasWeights(const PlacementOrder& aOrder);
-  /// Leave to send an order, which has not run out.
-  [[nodiscard]] std::optional<OrderGrant> Ask(const PlacementOrder& aOrder, bool aFenced) const;
+  [[nodiscard]] bool ConfirmWeights(const PlacementOrder& aOrder);
+  /// An unexpired authorization to send an order in the current tenure; nothing if there is none.
+  [[nodiscard]] std::optional<OrderGrant> Authorize(const PlacementOrder& aOrder,
+                                                    bool aFenced) const;
   void LogDecision(const PlacementOrder& aOrder, Offset aFencing, std::string_view aOutcome) const;
 
   const FleetManagerSettings& settings;
   const std::string market;
   const std::string region;
   LeaseFollower& lease;
-  OrderOutlets outlets;
+  OrderTargets targets;
   const Clock& clock;
 
-  std::optional<Placement> placement; ///< Of the tenure below.
+  std::optional<Placement> placement; ///< State of the tenure below.
   Offset tenure = kNoOffset;
-  std::optional<TimePoint> knownSince;   ///< When this daemon first saw the fleet.
-  std::map<std::string, int> unanswered; ///< Orders in a row without an answer, by endpoint.
-  std::set<std::string> weightsReady;    ///< Model versions that the store has promised this round.
-  bool weightsWait = false;              ///< The store has asked to wait in this round.
+  std::optional<TimePoint> fleetKnownSince; ///< When this daemon first had a fleet snapshot.
+  std::map<std::string, int>
+    unansweredOrders; ///< Consecutive orders without a response, by endpoint.
+  std::set<std::string>
+    confirmedWeights;        ///< Model versions that the weight store has confirmed in this round.
+  bool loadsDelayed = false; ///< The weight store has not confirmed a version in this round.
 };
 
 } // namespace lagoonward
--- a/Lagoonward/Daemon/OrderSender.h
+++ b/Lagoonward/Daemon/OrderSender.h
@@ -6,15 +6,15 @@
 
 namespace lagoonward {
 
-/// Carries orders to engines. Blocking; never called from the control thread or a traffic thread.
+/// Sends orders to engines. Calls block; never called from the control thread or a traffic thread.
 class OrderSender
 {
 public:
   virtual ~OrderSender() = default;
 
-  /// Sends one load or unload. The same order may be sent again.
-  /// @return StaleFencing when the engine knows a newer number, EndpointRejected when it refused,
-  ///         PlatformUnavailable when nobody knows whether it arrived
+  /// Sends one load or unload. Idempotent: the same order may be sent again.
+  /// @return StaleFencing when the engine has seen a newer fencing number, EndpointRejected when it refused the order,
+  ///         PlatformUnavailable when it is unknown whether the order arrived
   [[nodiscard]] virtual Result<void> Send(const Endpoint& aEndpoint, const PlacementOrder& aOrder,
                                           Offset aFencing) = 0;
 };
--- a/Lagoonward/Daemon/PermitExchange.cpp
+++ b/Lagoonward/Daemon/PermitExchange.cpp
@@ -82,26 +82,27 @@
     return;
   }
   const auto best = std::make_shared<PermitReply>();
-  KeeperQuestion question;
+  KeyOwnerRequest question;
   question.key = aRequest.endpoint;
   question.message = EncodeMessage(aRequest);
-  question.take = [best, wants = aRequest.wants](std::string_view aAnswer, bool /*aIsLate*/) {
+  question.onResponse = [best, wants = aRequest.wants](std::string_view aAnswer, bool /*aIsLate*/) {
     const auto reply = DecodeMessage<PermitReply>(aAnswer);
     if (!reply || reply.value().answer > PermitAnswer::Unlimited) {
-      return KeeperAnswer::Malformed;
+      return KeyOwnerResponseStatus::Malformed;
     }
     *best = Better(*best, reply.value());
     // News are for all keepers
-    return wants && IsLeave(*best) ? KeeperAnswer::Settled : KeeperAnswer::AskNext;
+    return wants && IsLeave(*best) ? KeyOwnerResponseStatus::Completed
+                                   : KeyOwnerResponseStatus::AskNext;
   };
-  question.end = [this, best, request = aRequest, answered = std::move(aAnswered), role] {
+  question.onCompleted = [this, best, request = aRequest, answered = std::move(aAnswered), role] {
     // News are for this daemon, too; its own part as the backup is for when the primary has none
     if (role != KeeperRole::None && (!request.wants || !IsLeave(*best))) {
       *best = Better(*best, this->Serve(request));
     }
     answered(*best);
   };
-  this->query.Ask(std::move(question));
+  this->query.Start(std::move(question));
 }
 
 } // namespace lagoonward
--- a/UnitTests/Daemon/LeaseFollowerTests.cpp
+++ b/UnitTests/Daemon/LeaseFollowerTests.cpp
@@ -92,7 +92,7 @@
 BOOST_AUTO_TEST_CASE(ALeaderThatCameAndWentWhileThisOneWasPausedIsNoticed)
 {
   Run(this->first, 0, Seconds(2));
-  const TimePoint before = this->first.OtherLedAt();
+  const TimePoint before = this->first.OtherLeaderSeenAt();
   Run(this->second, 0, Seconds(15));
   BOOST_REQUIRE(this->second.Status().held);
   this->second.Resign();
@@ -100,8 +100,8 @@
   // All of it is read in one step, after which nobody leads
   static_cast<void>(this->first.Step(0));
   BOOST_TEST(this->first.Status().holder.empty());
-  BOOST_TEST((this->first.OtherLedAt() > before));
-  BOOST_TEST((this->first.OtherLedAt() == this->clock.BootNow()));
+  BOOST_TEST((this->first.OtherLeaderSeenAt() > before));
+  BOOST_TEST((this->first.OtherLeaderSeenAt() == this->clock.BootNow()));
 }
 
 BOOST_AUTO_TEST_CASE(AnotherLeaderIsNoticedForAsLongAsItLeads)
@@ -110,11 +110,11 @@
   static_cast<void>(this->second.Step(1));
   this->clock.Advance(Seconds(5));
   static_cast<void>(this->second.Step(1));
-  BOOST_TEST((this->second.OtherLedAt() == this->clock.BootNow()));
+  BOOST_TEST((this->second.OtherLeaderSeenAt() == this->clock.BootNow()));
   // Its own tenure is no other's
-  const TimePoint seen = this->first.OtherLedAt();
+  const TimePoint seen = this->first.OtherLeaderSeenAt();
   Run(this->first, 0, Seconds(5));
-  BOOST_TEST((this->first.OtherLedAt() == seen));
+  BOOST_TEST((this->first.OtherLeaderSeenAt() == seen));
 }
 
 BOOST_AUTO_TEST_CASE(AHolderRenewsWithoutReading)
@@ -150,7 +150,7 @@
     this->clock.Advance(this->second.Step(1, fencing));
   }
   BOOST_TEST(this->log.Reads() == reads);
-  BOOST_TEST((this->second.OtherLedAt() > this->clock.BootNow() - Seconds(1)));
+  BOOST_TEST((this->second.OtherLeaderSeenAt() > this->clock.BootNow() - Seconds(1)));
   // The leader is killed and heard of no more
   Run(this->second, 0, Seconds(20));
   BOOST_TEST(this->second.Status().held);
