--- a/Lagoonward/Daemon/DutyService.cpp
+++ b/Lagoonward/Daemon/DutyService.cpp
@@ -40,12 +40,12 @@
   reporterPorts.mayAct = [this] { return this->AuthorizedFencing(); };
   reporterPorts.onRefused = [this](Offset aFencing) { this->OnStaleFencing(aFencing); };
   reporterPorts.countsOf = [this](std::int64_t aWindow) {
-    return this->facts.load->UsageOf(aWindow);
+    return this->facts.load->UsageInWindow(aWindow);
   };
   reporterPorts.isDue = [this](Milliseconds aSince) {
-    return this->facts.load->IsUsageDue(aSince);
+    return this->facts.load->IsUsageReportable(aSince);
   };
-  reporterPorts.forget = [this](std::int64_t aBefore) { this->facts.load->ForgetUsage(aBefore); };
+  reporterPorts.forget = [this](std::int64_t aBefore) { this->facts.load->ExpireUsage(aBefore); };
   return reporterPorts;
 }
 
--- a/Lagoonward/Daemon/LimitLoans.cpp
+++ b/Lagoonward/Daemon/LimitLoans.cpp
@@ -11,7 +11,8 @@
 
 const Log kLog("limits");
 
-/// The message, a LoanMessage that is answered by a LoanReply; numbers above RequestType::FirstForeign are this folder's.
+/// Type of the message, a LoanMessage whose response is a LoanReply; request types above
+/// RequestType::FirstForeign belong to this folder.
 constexpr auto kLoan =
   static_cast<RequestType>(static_cast<std::uint16_t>(RequestType::FirstForeign) + 6);
 
@@ -37,7 +38,7 @@
   }
 };
 
-/// Whether an amount of tokens or seconds can be reckoned with.
+/// Whether an amount of tokens or seconds is finite and not negative.
 bool
 IsPlausible(double aAmount)
 {
@@ -47,9 +48,9 @@
 } // namespace
 
 ReserveRole
-ReserveRoleOf(KeeperDirectory& aKeepers, std::uint64_t aKey)
+ReserveRoleOf(KeeperDirectory& aOwners, std::uint64_t aKey)
 {
-  switch (aKeepers.RoleOf(aKey)) {
+  switch (aOwners.RoleOf(aKey)) {
     case KeeperRole::Primary:
       return ReserveRole::Primary;
     case KeeperRole::Backup:
@@ -60,15 +61,15 @@
   return ReserveRole::None;
 }
 
-LimitLoans::LimitLoans(const KeeperQuerySettings& aSettings, KeeperDirectory& aKeepers,
+LimitLoans::LimitLoans(const KeeperQuerySettings& aSettings, KeeperDirectory& aOwners,
                        MembershipService& aMembership, Admission& aAdmission, const Clock& aClock)
-  : keepers(aKeepers)
+  : owners(aOwners)
   , admission(aAdmission)
-  , query(aSettings, kLoan, aKeepers, aMembership, aClock)
+  , query(aSettings, kLoan, aOwners, aMembership, aClock)
 {
   aMembership.Transport().OnRequest(
     kLoan, [this](PeerKey, std::string_view aBytes, const PeerTransport::Respond& aRespond) {
-      aRespond(this->Serve(aBytes));
+      aRespond(this->HandleRequest(aBytes));
     });
 }
 
@@ -76,17 +77,17 @@
 LimitLoans::OnKeepers()
 {
   this->admission.SetReserves(
-    [this](std::uint64_t aClient) { return ReserveRoleOf(this->keepers, aClient); });
+    [this](std::uint64_t aClient) { return ReserveRoleOf(this->owners, aClient); });
 }
 
 std::string
-LimitLoans::Serve(std::string_view aBytes)
+LimitLoans::HandleRequest(std::string_view aBytes)
 {
   const auto message = DecodeMessage<LoanMessage>(aBytes);
-  const bool isGood = message.has_value() && IsPlausible(message.value().request.need) &&
-                      IsPlausible(message.value().request.want);
-  if (!isGood) {
-    kLog.Warning("A daemon sent a malformed request for a loan.");
+  const bool isValid = message.has_value() && IsPlausible(message.value().request.need) &&
+                       IsPlausible(message.value().request.want);
+  if (!isValid) {
+    kLog.Warning("Received a malformed loan request from a peer; answers without a loan.");
     return EncodeMessage(LoanReply{});
   }
   return EncodeMessage(LoanReply{ this->admission.Lend(message.value().request) });
@@ -96,14 +97,14 @@
 LimitLoans::Borrow(const LoanRequest& aRequest, std::function<void()> aSettled)
 {
   const auto progress = std::make_shared<Progress>();
-  KeyOwnerRequest question;
-  question.key = aRequest.client;
-  question.message = EncodeMessage(LoanMessage{ aRequest });
-  question.onResponse = [this, progress, request = aRequest](std::string_view aAnswer,
-                                                             bool aIsLate) {
-    return this->Take(request, *progress, aAnswer, aIsLate);
+  KeyOwnerRequest ownerRequest;
+  ownerRequest.key = aRequest.client;
+  ownerRequest.message = EncodeMessage(LoanMessage{ aRequest });
+  ownerRequest.onResponse = [this, progress, request = aRequest](std::string_view aResponse,
+                                                                 bool aIsLate) {
+    return this->HandleReply(request, *progress, aResponse, aIsLate);
   };
-  question.onCompleted = [this, progress, request = aRequest, settled = std::move(aSettled)] {
+  ownerRequest.onCompleted = [this, progress, request = aRequest, settled = std::move(aSettled)] {
     if (!progress->isLent && !progress->isRefused) {
       this->admission.OnLoan(request, std::nullopt);
       kLog.Event(LogLevel::Warning, "loan_unanswered",
@@ -111,17 +112,17 @@
     }
     settled();
   };
-  this->query.Start(std::move(question));
+  this->query.Start(std::move(ownerRequest));
 }
 
 KeyOwnerResponseStatus
-LimitLoans::Take(const LoanRequest& aRequest, Progress& aProgress, std::string_view aAnswer,
-                 bool aIsLate)
+LimitLoans::HandleReply(const LoanRequest& aRequest, Progress& aProgress,
+                        std::string_view aResponse, bool aIsLate)
 {
-  const auto reply = DecodeMessage<LoanReply>(aAnswer);
-  const bool isGood = reply.has_value() && IsPlausible(reply.value().loan.tokens) &&
-                      IsPlausible(reply.value().loan.wait);
-  if (!isGood) {
+  const auto reply = DecodeMessage<LoanReply>(aResponse);
+  const bool isValid = reply.has_value() && IsPlausible(reply.value().loan.tokens) &&
+                       IsPlausible(reply.value().loan.wait);
+  if (!isValid) {
     return KeyOwnerResponseStatus::Malformed;
   }
   const Loan& loan = reply.value().loan;
@@ -130,7 +131,7 @@
     this->admission.OnLoan(aRequest, loan);
     return KeyOwnerResponseStatus::Completed;
   }
-  // Who keeps no reserve, as it sees the daemons, has not refused
+  // A wait of zero is no refusal: in its own membership view that daemon owns no reserve
   if (loan.wait > 0 && !aIsLate) {
     aProgress.isRefused = true;
     this->admission.OnLoan(aRequest, loan);
--- a/Lagoonward/Daemon/LoadBook.cpp
+++ b/Lagoonward/Daemon/LoadBook.cpp
@@ -8,28 +8,28 @@
 
 namespace {
 
-/// Adds the other groups' demand to that of a group's members.
+/// Adds the other groups' demand to the demand of a group's members.
 void
-AddDemand(std::vector<ClientDemand>& aDemand, std::span<const ClientDemand> aMore)
+AddDemand(std::vector<ClientDemand>& aDemand, std::span<const ClientDemand> aOther)
 {
-  std::unordered_map<std::uint64_t, std::size_t> places;
+  std::unordered_map<std::uint64_t, std::size_t> positions;
   for (std::size_t index = 0; index < aDemand.size(); ++index) {
-    places[aDemand[index].client] = index;
+    positions[aDemand[index].client] = index;
   }
-  for (const ClientDemand& more : aMore) {
-    const auto known = places.find(more.client);
-    if (known == places.end()) {
-      aDemand.push_back(more);
+  for (const ClientDemand& entry : aOther) {
+    const auto known = positions.find(entry.client);
+    if (known == positions.end()) {
+      aDemand.push_back(entry);
       continue;
     }
     ClientDemand& demand = aDemand[known->second];
-    demand.tokensPerSecond += more.tokensPerSecond;
-    demand.running += more.running;
-    demand.admittedTotal += more.admittedTotal;
+    demand.tokensPerSecond += entry.tokensPerSecond;
+    demand.running += entry.running;
+    demand.admittedTotal += entry.admittedTotal;
   }
 }
 
-/// Adds the other groups' requests in flight; both are ordered by endpoint.
+/// Merges two lists of requests in flight that are ordered by endpoint.
 InFlightCounts
 AddInFlight(const InFlightCounts& aLeft, const InFlightCounts& aRight)
 {
@@ -53,23 +53,23 @@
 
 } // namespace
 
-LoadBook::Books::Books(const LoadBookSettings& aSettings, const Clock& aClock)
+LoadBook::GroupTables::GroupTables(const LoadTableSettings& aSettings, const Clock& aClock)
   : memberUsage(aSettings.usage, aClock)
   , groupUsage(aSettings.usage, aClock)
-  , memberWork(aSettings.silence, aClock)
-  , memberInFlight(aSettings.silence, aClock)
-  , groupInFlight(aSettings.silence, aClock)
+  , memberWork(aSettings.silenceTimeout, aClock)
+  , memberInFlight(aSettings.silenceTimeout, aClock)
+  , groupInFlight(aSettings.silenceTimeout, aClock)
   , memberDemand(aSettings.demand, aClock)
   , groupDemand(aSettings.demand, aClock)
 {
 }
 
-LoadBook::LoadBook(const LoadBookSettings& aSettings, std::uint64_t aRun, const Clock& aClock)
+LoadBook::LoadBook(const LoadTableSettings& aSettings, std::uint64_t aRun, const Clock& aClock)
   : settings(aSettings)
   , run(aRun)
   , clock(aClock)
 {
-  this->books.emplace(this->settings, this->clock);
+  this->tables.emplace(this->settings, this->clock);
 }
 
 void
@@ -77,7 +77,7 @@
 {
   if (aGroup != this->group) {
     this->group = aGroup;
-    this->books.emplace(this->settings, this->clock);
+    this->tables.emplace(this->settings, this->clock);
   }
 }
 
@@ -89,12 +89,12 @@
     return;
   }
   if (aReport.hasUsage) {
-    this->books->memberUsage.OnCounts(aReport.run, aReport.usage);
+    this->tables->memberUsage.OnCounts(aReport.run, aReport.usage);
   }
-  this->books->memberWork.OnTotals(aReport.run, aReport.work);
-  this->books->memberInFlight.OnCounts(aReport.run, aReport.inFlight);
-  this->books->memberSpeeds[aReport.run] = { this->clock.Now(), aReport.speeds };
-  this->books->memberDemand.OnTold(aReport.run, aReport.run, 1, Plausible(aReport.demand));
+  this->tables->memberWork.OnTotals(aReport.run, aReport.work);
+  this->tables->memberInFlight.OnCounts(aReport.run, aReport.inFlight);
+  this->tables->memberSpeeds[aReport.run] = { this->clock.Now(), aReport.speeds };
+  this->tables->memberDemand.OnTold(aReport.run, aReport.run, 1, Plausible(aReport.demand));
 }
 
 bool
@@ -104,41 +104,42 @@
     return false;
   }
   const TimePoint now = this->clock.Now();
-  const auto known = this->books->groups.find(aReport.group);
-  if (known == this->books->groups.end() &&
-      this->books->groups.size() >= this->settings.maximumGroups) {
+  const auto known = this->tables->groups.find(aReport.group);
+  if (known == this->tables->groups.end() &&
+      this->tables->groups.size() >= this->settings.maximumGroups) {
     return false;
   }
-  const bool isOther = known != this->books->groups.end() && known->second.run != aReport.run;
-  if (isOther && now - known->second.heard <= this->settings.succession) {
+  const bool isOtherAggregator =
+    known != this->tables->groups.end() && known->second.run != aReport.run;
+  if (isOtherAggregator && now - known->second.receivedAt <= this->settings.aggregatorTimeout) {
     return false;
   }
   this->OnLeader(aReport.leader);
-  this->books->groups[aReport.group] = { aReport.run, now, aReport.workRate };
+  this->tables->groups[aReport.group] = { aReport.run, now, aReport.workRate };
   if (aReport.hasUsage) {
-    this->books->groupUsage.OnCounts(aReport.group, aReport.usage, Milliseconds(aReport.usageAge));
+    this->tables->groupUsage.OnCounts(aReport.group, aReport.usage, Milliseconds(aReport.usageAge));
   }
-  this->books->groupInFlight.OnCounts(aReport.group, aReport.inFlight);
-  this->books->groupDemand.OnTold(aReport.group, aReport.run, aReport.demand.daemons,
-                                  Plausible(aReport.demand.demand));
+  this->tables->groupInFlight.OnCounts(aReport.group, aReport.inFlight);
+  this->tables->groupDemand.OnTold(aReport.group, aReport.run, aReport.demand.daemons,
+                                   Plausible(aReport.demand.demand));
   return true;
 }
 
 LoadSum
 LoadBook::SumFor(std::uint64_t aRun)
 {
-  this->books->memberDemand.Forget();
-  this->books->groupDemand.Forget();
+  this->tables->memberDemand.Forget();
+  this->tables->groupDemand.Forget();
   LoadSum sum;
   sum.run = this->run;
   sum.inFlight =
-    AddInFlight(this->books->memberInFlight.SumOfOthers(aRun), this->books->groupInFlight.Sum());
-  const DemandOfOthers far = this->books->groupDemand.Sum();
-  sum.demand = this->books->memberDemand.SumOfOthers(aRun);
+    AddInFlight(this->tables->memberInFlight.SumOfOthers(aRun), this->tables->groupInFlight.Sum());
+  const DemandOfOthers groupSum = this->tables->groupDemand.Sum();
+  sum.demand = this->tables->memberDemand.SumOfOthers(aRun);
   sum.demand.series = CombineHashes(this->run, sum.demand.series);
-  sum.demand.daemons += far.daemons;
-  AddDemand(sum.demand.demand, far.demand);
-  sum.leader = this->Leader(this->settings.silence);
+  sum.demand.daemons += groupSum.daemons;
+  AddDemand(sum.demand.demand, groupSum.demand);
+  sum.leader = this->Leader(this->settings.silenceTimeout);
   return sum;
 }
 
@@ -150,35 +151,37 @@
   report.group = this->group;
   report.hasUsage = aHasUsage;
   if (aHasUsage) {
-    report.usageAge = this->books->memberUsage.Age().count();
-    report.usage = this->books->memberUsage.Totals();
+    report.usageAge = this->tables->memberUsage.Age().count();
+    report.usage = this->tables->memberUsage.Totals();
   }
-  report.inFlight = this->books->memberInFlight.Sum();
-  report.demand = this->books->memberDemand.Sum();
-  report.workRate = this->books->memberWork.Rates();
+  report.inFlight = this->tables->memberInFlight.Sum();
+  report.demand = this->tables->memberDemand.Sum();
+  report.workRate = this->tables->memberWork.Rates();
   report.speeds = this->GroupSpeeds();
-  report.leader = this->Leader(this->settings.silence);
+  report.leader = this->Leader(this->settings.silenceTimeout);
   return report;
 }
 
 void
-LoadBook::OnLeader(const LeaderNote& aNote)
+LoadBook::OnLeader(const LeaderAnnouncement& aAnnouncement)
 {
-  if (aNote.id.empty() || aNote.fencing < this->leader.fencing || aNote.age < 0) {
+  if (aAnnouncement.id.empty() || aAnnouncement.fencing < this->leader.fencing ||
+      aAnnouncement.age < 0) {
     return;
   }
-  const TimePoint heard = this->clock.Now() - Milliseconds(aNote.age);
-  const bool isNewer = aNote.fencing > this->leader.fencing || heard > this->leaderHeard;
+  const TimePoint receivedAt = this->clock.Now() - Milliseconds(aAnnouncement.age);
+  const bool isNewer =
+    aAnnouncement.fencing > this->leader.fencing || receivedAt > this->leaderAnnouncedAt;
   if (isNewer) {
-    this->leader = aNote;
-    this->leaderHeard = heard;
+    this->leader = aAnnouncement;
+    this->leaderAnnouncedAt = receivedAt;
   }
 }
 
-LeaderNote
+LeaderAnnouncement
 LoadBook::Leader(Milliseconds aWithin) const
 {
-  const auto age = std::chrono::floor<Milliseconds>(this->clock.Now() - this->leaderHeard);
+  const auto age = std::chrono::floor<Milliseconds>(this->clock.Now() - this->leaderAnnouncedAt);
   if (this->leader.id.empty() || age > aWithin) {
     return {};
   }
@@ -189,12 +192,12 @@
 LoadBook::GroupSpeeds()
 {
   const TimePoint now = this->clock.Now();
-  std::erase_if(this->books->memberSpeeds, [&](const auto& aMember) {
-    return now - aMember.second.heard > this->settings.silence;
+  std::erase_if(this->tables->memberSpeeds, [&](const auto& aMember) {
+    return now - aMember.second.receivedAt > this->settings.silenceTimeout;
   });
   std::map<std::string_view, std::vector<const SpeedReport*>> byClass;
-  for (const auto& [member, learned] : this->books->memberSpeeds) {
-    for (const SpeedReport& report : learned.speeds) {
+  for (const auto& [member, speedsOfMember] : this->tables->memberSpeeds) {
+    for (const SpeedReport& report : speedsOfMember.speeds) {
       byClass[report.machineClass].push_back(&report);
     }
   }
@@ -207,35 +210,36 @@
 }
 
 UsageCounts
-LoadBook::UsageOf(std::int64_t aWindow) const
+LoadBook::UsageInWindow(std::int64_t aWindow) const
 {
-  UsageCounts total = this->books->memberUsage.TotalOf(aWindow);
-  for (const auto& [account, count] : this->books->groupUsage.TotalOf(aWindow)) {
+  UsageCounts total = this->tables->memberUsage.TotalOf(aWindow);
+  for (const auto& [account, count] : this->tables->groupUsage.TotalOf(aWindow)) {
     total[account] += count;
   }
   return total;
 }
 
 bool
-LoadBook::IsUsageDue(Milliseconds aSinceEnd) const
+LoadBook::IsUsageReportable(Milliseconds aSinceEnd) const
 {
-  return this->books->memberUsage.IsDue(aSinceEnd) && this->books->groupUsage.IsDue(aSinceEnd);
+  return this->tables->memberUsage.IsDue(aSinceEnd) && this->tables->groupUsage.IsDue(aSinceEnd);
 }
 
 void
-LoadBook::ForgetUsage(std::int64_t aBefore)
+LoadBook::ExpireUsage(std::int64_t aBefore)
 {
-  this->books->memberUsage.Forget(aBefore);
-  this->books->groupUsage.Forget(aBefore);
+  this->tables->memberUsage.Forget(aBefore);
+  this->tables->groupUsage.Forget(aBefore);
 }
 
 EngineWork
 LoadBook::RateOf(const std::string& aService) const
 {
-  EngineWork sum = this->books->memberWork.RateOf(aService);
-  for (const auto& [key, each] : this->books->groups) {
+  EngineWork sum = this->tables->memberWork.RateOf(aService);
+  for (const auto& [key, each] : this->tables->groups) {
     const auto rate = each.workRate.find(aService);
-    if (rate != each.workRate.end() && this->clock.Now() - each.heard <= this->settings.silence) {
+    if (rate != each.workRate.end() &&
+        this->clock.Now() - each.receivedAt <= this->settings.silenceTimeout) {
       sum += rate->second;
     }
   }
@@ -245,7 +249,7 @@
 int
 LoadBook::Heard() const
 {
-  return this->books->memberDemand.Sum().daemons + this->books->groupDemand.Sum().daemons;
+  return this->tables->memberDemand.Sum().daemons + this->tables->groupDemand.Sum().daemons;
 }
 
 std::vector<ClientDemand>
--- a/Lagoonward/Daemon/LoadBook.h
+++ b/Lagoonward/Daemon/LoadBook.h
@@ -11,88 +11,90 @@
 
 namespace lagoonward {
 
-/// Tunables of an aggregator's book.
-struct LoadBookSettings
+/// Tunables of an aggregator's load table.
+struct LoadTableSettings
 {
   UsageBookSettings usage;
   DemandSumSettings demand;
-  Milliseconds silence{
+  Milliseconds silenceTimeout{
     3000
-  }; ///< A daemon or group that has been silent this long no longer counts.
-  /// The sums of a group are taken from one aggregator until it has been silent for so long: three messages.
-  Milliseconds succession{ 1200 };
-  /// Groups beyond are left out, so that no sender can fill the memory. Far more than failure domains anywhere.
+  }; ///< A daemon or group that has sent no report for this long is left out of the sums.
+  /// The sums of a group are accepted from one aggregator only, until it has sent none for this long: three messages.
+  Milliseconds aggregatorTimeout{ 1200 };
+  /// Reports of further groups are rejected, so that no sender can exhaust the memory. Far more than the failure domains
+  /// of any deployment.
   std::size_t maximumGroups = 512;
 };
 
-/// What an aggregator knows: the load of its group's members, and the sums of the other groups. Does no I/O. Not
+/// The state of an aggregator: the load of its group's members, and the sums of the other groups. Does no I/O. Not
 /// thread-safe.
 ///
-/// A member's report and its answer take time in proportion to what the report names and to the endpoints in use; they
-/// do not depend on how many daemons there are beyond the group.
+/// Handling a member's report and making its response takes time proportional to the entries of the report and to the
+/// endpoints in use, independent of the number of daemons outside the group.
 class LoadBook
 {
 public:
-  /// @param aRun  names this daemon and this run of it
-  LoadBook(const LoadBookSettings& aSettings, std::uint64_t aRun, const Clock& aClock);
+  /// @param aRun  identifies this daemon and this run of it
+  LoadBook(const LoadTableSettings& aSettings, std::uint64_t aRun, const Clock& aClock);
 
-  /// The group that this daemon belongs to. Another one begins with an empty book: who was told of there is told of by
-  /// others now.
+  /// Sets the group that this daemon belongs to. A change clears all reports, since other aggregators report the members
+  /// of the previous group from then on.
   void SetGroup(std::uint64_t aGroup);
 
-  /// A member has reported. One that takes itself for another group's is left out.
+  /// Applies a member's report. A report that names another group is ignored, except for its leader announcement.
   void OnMember(const MemberReport& aReport);
 
-  /// The first aggregator of another group has told its sums. While two do so for one group, the one heard first counts.
-  /// @return false where it was left out
+  /// Applies the sums that the first aggregator of another group has sent. While two aggregators send sums for one group,
+  /// those of the one that was received first count.
+  /// @return false where the report was ignored
   bool OnGroup(const GroupReport& aReport);
 
-  /// What all others have in flight and ask for.
+  /// Requests in flight and demand of all daemons but the one with that run.
   [[nodiscard]] LoadSum SumFor(std::uint64_t aRun);
 
-  /// The sums of this group, and the medians of the speeds that its members have learned. What the group merely goes by
-  /// is left out: it comes from other groups in part, and told back to them it would hold all at what was believed first.
+  /// The sums of this group, and the medians of the speeds that its members have measured. The speeds in use are not
+  /// sent: they come from other groups in part, and sent back to these they would keep all groups at the first estimate.
   [[nodiscard]] GroupReport GroupSum(bool aHasUsage);
 
-  /// Requests of all daemons that began in a window.
-  [[nodiscard]] UsageCounts UsageOf(std::int64_t aWindow) const;
+  /// Requests per account that started in a window, over all daemons.
+  [[nodiscard]] UsageCounts UsageInWindow(std::int64_t aWindow) const;
 
-  /// Whether a window that ended so long ago can be reported now.
-  [[nodiscard]] bool IsUsageDue(Milliseconds aSinceEnd) const;
-  void ForgetUsage(std::int64_t aBefore);
+  /// Whether the usage of a window that ended this long ago is complete, so that it can be reported.
+  [[nodiscard]] bool IsUsageReportable(Milliseconds aSinceEnd) const;
+  void ExpireUsage(std::int64_t aBefore);
 
   /// Work per second that all daemons together send to a service.
   [[nodiscard]] EngineWork RateOf(const std::string& aService) const;
 
-  /// Who leads, as it said itself within a time; nobody otherwise.
-  [[nodiscard]] LeaderNote Leader(Milliseconds aWithin) const;
+  /// The leader, where it has announced itself within that time; otherwise an empty announcement.
+  [[nodiscard]] LeaderAnnouncement Leader(Milliseconds aWithin) const;
 
-  /// A leader was heard of, at this daemon or through another one.
-  void OnLeader(const LeaderNote& aNote);
+  /// Applies an announcement of a leader, by this daemon itself or received from another one.
+  void OnLeader(const LeaderAnnouncement& aAnnouncement);
 
-  /// Daemons whose reports are in the sums now, directly or through their group.
+  /// Number of daemons whose reports are in the sums, directly or through their group.
   [[nodiscard]] int Heard() const;
 
 private:
-  /// What another group's sums are taken from.
+  /// The accepted aggregator of another group, and its last report.
   struct Group
   {
     std::uint64_t run = 0;
-    TimePoint heard;
+    TimePoint receivedAt;
     WorkByService workRate;
   };
 
-  /// What a member has learned of the endpoints' speed.
-  struct Learned
+  /// The endpoints' speeds as a member has measured them.
+  struct SpeedsOfMember
   {
-    TimePoint heard;
+    TimePoint receivedAt;
     std::vector<SpeedReport> speeds;
   };
 
-  /// Everything that was told while this daemon belonged to one group.
-  struct Books
+  /// All reports received while this daemon belongs to one group.
+  struct GroupTables
   {
-    Books(const LoadBookSettings& aSettings, const Clock& aClock);
+    GroupTables(const LoadTableSettings& aSettings, const Clock& aClock);
 
     UsageBook memberUsage;
     UsageBook groupUsage;
@@ -101,20 +103,20 @@
     InFlightBook groupInFlight;
     DemandSum memberDemand;
     DemandSum groupDemand;
-    std::unordered_map<std::uint64_t, Learned> memberSpeeds;
+    std::unordered_map<std::uint64_t, SpeedsOfMember> memberSpeeds;
     std::unordered_map<std::uint64_t, Group> groups;
   };
 
   [[nodiscard]] std::vector<SpeedReport> GroupSpeeds();
   [[nodiscard]] static std::vector<ClientDemand> Plausible(std::vector<ClientDemand> aDemand);
 
-  LoadBookSettings settings;
+  LoadTableSettings settings;
   std::uint64_t run;
   const Clock& clock;
   std::uint64_t group = 0;
-  std::optional<Books> books; ///< Never empty.
-  LeaderNote leader;
-  TimePoint leaderHeard; ///< When it last said that it leads.
+  std::optional<GroupTables> tables; ///< Always set; replaced when the group changes.
+  LeaderAnnouncement leader;
+  TimePoint leaderAnnouncedAt; ///< When the leader last announced itself.
 };
 
 } // namespace lagoonward
--- a/Lagoonward/Daemon/LoadExchange.cpp
+++ b/Lagoonward/Daemon/LoadExchange.cpp
@@ -10,7 +10,7 @@
 
 const Log kLog("load");
 
-/// The messages; numbers above RequestType::FirstForeign are this folder's.
+/// Types of the messages; request types above RequestType::FirstForeign belong to this folder.
 constexpr auto kMemberReport =
   static_cast<RequestType>(static_cast<std::uint16_t>(RequestType::FirstForeign) + 3);
 constexpr auto kGroupReport =
@@ -24,18 +24,18 @@
   , facts(std::move(aFacts))
   , membership(aMembership)
   , clock(aClock)
-  , self(this->facts.self.Key())
-  , summedAt(aClock.Now())
-  , book(this->settings.book, this->facts.run, aClock)
+  , ownKey(this->facts.self.Key())
+  , sumAppliedAt(aClock.Now())
+  , loadTable(this->settings.loadTable, this->facts.run, aClock)
 {
   this->membership.Transport().OnRequest(
     kMemberReport,
     [this](PeerKey, std::string_view aBytes, const PeerTransport::Respond& aRespond) {
-      aRespond(this->TakeReport(aBytes));
+      aRespond(this->HandleMemberReport(aBytes));
     });
   this->membership.Transport().OnRequest(
     kGroupReport, [this](PeerKey, std::string_view aBytes, const PeerTransport::Respond& aRespond) {
-      this->TakeGroup(aBytes);
+      this->HandleGroupReport(aBytes);
       aRespond(std::string());
     });
 }
@@ -44,7 +44,7 @@
 LoadExchange::Start()
 {
   this->UpdatePlan();
-  this->membership.Loop().After(this->Interval(), [this] { this->Report(); });
+  this->membership.Loop().After(this->Interval(), [this] { this->SendReports(); });
 }
 
 void
@@ -52,56 +52,56 @@
 {
   const std::lock_guard lock(this->mutex);
   this->draining = true;
-  this->replan = true;
+  this->planOutdated = true;
 }
 
 void
 LoadExchange::OnSent(const std::string& aService, const EngineWork& aWork)
 {
   const std::lock_guard lock(this->mutex);
-  this->sent[aService] += aWork;
+  this->sentWork[aService] += aWork;
 }
 
 int
 LoadExchange::ElectionRank() const
 {
   const std::lock_guard lock(this->mutex);
-  return this->plan.RankOf(this->self);
+  return this->plan.RankOf(this->ownKey);
 }
 
-LeaderNote
+LeaderAnnouncement
 LoadExchange::Leader() const
 {
   const std::lock_guard lock(this->mutex);
-  return this->book.Leader(3 * this->Interval() + this->settings.leaderMargin);
+  return this->loadTable.Leader(3 * this->Interval() + this->settings.leaderMargin);
 }
 
 UsageCounts
-LoadExchange::UsageOf(std::int64_t aWindow) const
+LoadExchange::UsageInWindow(std::int64_t aWindow) const
 {
   const std::lock_guard lock(this->mutex);
-  return this->book.UsageOf(aWindow);
+  return this->loadTable.UsageInWindow(aWindow);
 }
 
 bool
-LoadExchange::IsUsageDue(Milliseconds aSinceEnd) const
+LoadExchange::IsUsageReportable(Milliseconds aSinceEnd) const
 {
   const std::lock_guard lock(this->mutex);
-  return this->book.IsUsageDue(aSinceEnd);
+  return this->loadTable.IsUsageReportable(aSinceEnd);
 }
 
 void
-LoadExchange::ForgetUsage(std::int64_t aBefore)
+LoadExchange::ExpireUsage(std::int64_t aBefore)
 {
   const std::lock_guard lock(this->mutex);
-  this->book.ForgetUsage(aBefore);
+  this->loadTable.ExpireUsage(aBefore);
 }
 
 EngineWork
 LoadExchange::RateOf(const std::string& aService) const
 {
   const std::lock_guard lock(this->mutex);
-  return this->book.RateOf(aService);
+  return this->loadTable.RateOf(aService);
 }
 
 Milliseconds
@@ -116,17 +116,17 @@
 {
   const PeerViewPtr view = this->membership.Peers();
   const std::lock_guard lock(this->mutex);
-  if (view == this->planned && !this->replan) {
+  if (view == this->plannedView && !this->planOutdated) {
     return;
   }
-  this->planned = view;
-  this->replan = false;
+  this->plannedView = view;
+  this->planOutdated = false;
   this->plan = MakeAggregationPlan(this->facts.self, !this->draining, *view, this->settings.plan);
-  this->book.SetGroup(this->plan.group);
+  this->loadTable.SetGroup(this->plan.group);
 }
 
 void
-LoadExchange::Report()
+LoadExchange::SendReports()
 {
   this->UpdatePlan();
   const TimePoint now = this->clock.Now();
@@ -135,16 +135,16 @@
   if (this->reportsUsage) {
     this->usageSentAt = now;
   }
-  MemberReport report = this->Collect();
+  MemberReport report = this->MakeMemberReport();
   this->SendToAggregators(report);
-  if (this->plan.IsFirst(this->self)) {
+  if (this->plan.IsFirst(this->ownKey)) {
     this->SendToGroups();
   }
-  this->membership.Loop().After(this->Interval(), [this] { this->Report(); });
+  this->membership.Loop().After(this->Interval(), [this] { this->SendReports(); });
 }
 
 MemberReport
-LoadExchange::Collect()
+LoadExchange::MakeMemberReport()
 {
   MemberReport report;
   report.run = this->facts.run;
@@ -157,7 +157,7 @@
     report.inFlight.emplace_back(count.endpointKey, count.count);
   }
   report.demand = this->facts.market->admission.TakeDemand();
-  // Most daemons never hear of most accounts
+  // Most daemons receive no requests of most accounts
   std::erase_if(report.demand, [](const ClientDemand& aEach) {
     return aEach.admittedTotal <= 0 && aEach.running == 0 && aEach.tokensPerSecond <= 0;
   });
@@ -165,58 +165,58 @@
   report.leader = this->facts.leader();
   report.poison = this->facts.market->poison.Notes();
   const std::lock_guard lock(this->mutex);
-  report.work = this->sent;
+  report.work = this->sentWork;
   return report;
 }
 
 void
 LoadExchange::SendToAggregators(MemberReport& aReport)
 {
-  // What this daemon knows of itself counts at once, also where it leads without being an aggregator
+  // Its own report counts at once, also where this daemon leads without being an aggregator
   {
     const std::lock_guard lock(this->mutex);
-    this->book.OnMember(aReport);
+    this->loadTable.OnMember(aReport);
   }
-  // The first gives the sum, the next one where the first is silent
-  const bool isLate = this->clock.Now() - this->summedAt > this->settings.sumPatience;
+  // The first aggregator sends the sum; the next one is asked, too, where the first has sent none for a while
+  const bool isSumOverdue = this->clock.Now() - this->sumAppliedAt > this->settings.sumTimeout;
   bool wantsSum = true;
-  if (this->plan.IsFirst(this->self)) {
+  if (this->plan.IsFirst(this->ownKey)) {
     this->ApplySum(this->SumFor(this->facts.run));
     wantsSum = false;
   }
   std::vector<PeerAddress> receivers = this->plan.own;
-  if (const auto leader = this->LeaderElsewhere()) {
+  if (const auto leader = this->LeaderOutsideAggregators()) {
     receivers.push_back(*leader);
   }
   for (const PeerAddress& receiver : receivers) {
-    if (receiver.key == this->self) {
+    if (receiver.key == this->ownKey) {
       continue;
     }
     aReport.wantsSum = wantsSum;
-    wantsSum = wantsSum && isLate;
+    wantsSum = wantsSum && isSumOverdue;
     this->membership.Transport().Request(
       receiver, kMemberReport, EncodeMessage(aReport), this->settings.timeout,
-      [this, isSum = aReport.wantsSum](const Result<std::string>& aAnswer) {
-        if (isSum) {
-          this->TakeSum(aAnswer);
+      [this, isSumRequested = aReport.wantsSum](const Result<std::string>& aResponse) {
+        if (isSumRequested) {
+          this->HandleSumResponse(aResponse);
         }
       });
   }
 }
 
 std::optional<PeerAddress>
-LoadExchange::LeaderElsewhere() const
+LoadExchange::LeaderOutsideAggregators() const
 {
-  // Told for longer than it is believed to live: where intervals keep step its note may always come late, and usage is
-  // told to it or to nobody
-  LeaderNote leader;
+  // The leader is sent reports for longer than its announcement is valid for elections: with synchronized intervals
+  // every announcement may arrive late, and usage that is not sent to the leader is lost
+  LeaderAnnouncement leader;
   {
     const std::lock_guard lock(this->mutex);
-    leader = this->book.Leader(this->settings.book.silence);
+    leader = this->loadTable.Leader(this->settings.loadTable.silenceTimeout);
   }
   const PeerKey key = ToPeerKey(leader.id);
   const auto rank = static_cast<std::size_t>(this->plan.RankOf(key));
-  if (leader.id.empty() || key == this->self || rank < this->plan.candidates.size()) {
+  if (leader.id.empty() || key == this->ownKey || rank < this->plan.candidates.size()) {
     return std::nullopt;
   }
   return this->membership.AddressOf(key);
@@ -228,12 +228,12 @@
   GroupReport report;
   {
     const std::lock_guard lock(this->mutex);
-    report = this->book.GroupSum(this->reportsUsage);
+    report = this->loadTable.GroupSum(this->reportsUsage);
   }
   report.poison = this->facts.market->poison.Notes();
   const std::string bytes = EncodeMessage(report);
   std::vector<PeerAddress> receivers = this->plan.others;
-  if (const auto leader = this->LeaderElsewhere()) {
+  if (const auto leader = this->LeaderOutsideAggregators()) {
     receivers.push_back(*leader);
   }
   for (const PeerAddress& receiver : receivers) {
@@ -243,11 +243,12 @@
 }
 
 std::string
-LoadExchange::TakeReport(std::string_view aBytes)
+LoadExchange::HandleMemberReport(std::string_view aBytes)
 {
   const auto decoded = DecodeMessage<MemberReport>(aBytes);
   if (!decoded) {
-    kLog.Warning("A daemon sent a malformed report of its load: {}.", decoded.error().message);
+    kLog.Warning("Received a malformed member load report from a peer; ignored: {}.",
+                 decoded.error().message);
     return {};
   }
   const MemberReport& report = decoded.value();
@@ -255,24 +256,24 @@
   this->facts.market->poison.OnNotes(report.poison);
   {
     const std::lock_guard lock(this->mutex);
-    this->book.OnMember(report);
+    this->loadTable.OnMember(report);
   }
   return report.wantsSum ? EncodeMessage(this->SumFor(report.run)) : std::string();
 }
 
 void
-LoadExchange::TakeGroup(std::string_view aBytes)
+LoadExchange::HandleGroupReport(std::string_view aBytes)
 {
   const auto decoded = DecodeMessage<GroupReport>(aBytes);
   if (!decoded) {
-    kLog.Warning("A daemon sent a malformed report of a group's load: {}.",
+    kLog.Warning("Received a malformed group load report from a peer; ignored: {}.",
                  decoded.error().message);
     return;
   }
   const GroupReport& report = decoded.value();
   this->facts.market->poison.OnNotes(report.poison);
   const std::lock_guard lock(this->mutex);
-  if (this->book.OnGroup(report)) {
+  if (this->loadTable.OnGroup(report)) {
     this->facts.market->router.OnToldSpeeds(report.run, report.speeds);
   }
 }
@@ -283,7 +284,7 @@
   LoadSum sum;
   {
     const std::lock_guard lock(this->mutex);
-    sum = this->book.SumFor(aRun);
+    sum = this->loadTable.SumFor(aRun);
   }
   sum.speeds = this->facts.market->router.SpeedsInUse();
   sum.poison = this->facts.market->poison.Notes();
@@ -291,14 +292,14 @@
 }
 
 void
-LoadExchange::TakeSum(const Result<std::string>& aAnswer)
+LoadExchange::HandleSumResponse(const Result<std::string>& aResponse)
 {
-  if (!aAnswer) {
+  if (!aResponse) {
     return;
   }
-  const auto sum = DecodeMessage<LoadSum>(aAnswer.value());
+  const auto sum = DecodeMessage<LoadSum>(aResponse.value());
   if (!sum) {
-    kLog.Warning("A daemon sent a malformed sum of the load: {}.", sum.error().message);
+    kLog.Warning("Received a malformed load sum from a peer; ignored: {}.", sum.error().message);
     return;
   }
   this->ApplySum(sum.value());
@@ -307,7 +308,7 @@
 void
 LoadExchange::ApplySum(const LoadSum& aSum)
 {
-  this->summedAt = this->clock.Now();
+  this->sumAppliedAt = this->clock.Now();
   std::vector<EndpointCount> counts;
   counts.reserve(aSum.inFlight.size());
   for (const auto& [key, count] : aSum.inFlight) {
@@ -315,7 +316,7 @@
   }
   {
     const std::lock_guard lock(this->mutex);
-    this->book.OnLeader(aSum.leader);
+    this->loadTable.OnLeader(aSum.leader);
   }
   this->facts.market->router.OnPeersInFlight(counts);
   this->facts.market->admission.OnOthers(aSum.demand);
--- a/Lagoonward/Daemon/LoadMessages.h
+++ b/Lagoonward/Daemon/LoadMessages.h
@@ -65,12 +65,12 @@
   });
 }
 
-/// Who leads, as somebody has heard of late.
-struct LeaderNote
+/// Announcement by the leader, as received directly or through other daemons.
+struct LeaderAnnouncement
 {
-  std::string id;            ///< Empty for nobody.
-  std::int64_t fencing = -1; ///< Of its tenure.
-  std::int64_t age = 0;      ///< Milliseconds since it said so.
+  std::string id;            ///< Daemon that leads; empty for none.
+  std::int64_t fencing = -1; ///< Fencing number of its tenure.
+  std::int64_t age = 0;      ///< Milliseconds since the leader sent it.
 
   template<class Archive>
   void serialize(Archive& aArchive)
@@ -80,20 +80,20 @@
   }
 };
 
-/// What a daemon tells the aggregators of its group. Usage and work are cumulative, so a lost message costs only time.
+/// Report of a daemon to the aggregators of its group. Usage and work are cumulative, so a lost message only delays them.
 struct MemberReport
 {
-  std::uint64_t run = 0;   ///< Names the daemon and this run of it.
-  std::uint64_t group = 0; ///< That it takes itself to belong to.
-  bool wantsSum = false;   ///< Whether the answer is to be a LoadSum.
-  bool hasUsage = false;   ///< Usage goes along less often than the rest.
+  std::uint64_t run = 0;   ///< Identifies the daemon and this run of it.
+  std::uint64_t group = 0; ///< Group that the daemon belongs to by its own plan.
+  bool wantsSum = false;   ///< Whether the response is to be a LoadSum.
+  bool hasUsage = false;   ///< Usage is sent less often than the rest.
   UsageByWindow usage;
   InFlightCounts inFlight;
   std::vector<ClientDemand> demand;
-  WorkByService work;              ///< Sent to endpoints since its start.
-  std::vector<SpeedReport> speeds; ///< As it has learned them.
-  LeaderNote leader;               ///< Itself, while it leads.
-  std::vector<PoisonNote> poison;  ///< All that it knows of.
+  WorkByService work;              ///< Total sent to endpoints since the daemon's start.
+  std::vector<SpeedReport> speeds; ///< As the daemon has measured them.
+  LeaderAnnouncement leader;       ///< The daemon itself, while it leads.
+  std::vector<PoisonNote> poison;  ///< All verdicts that the daemon knows.
 
   template<class Archive>
   void serialize(Archive& aArchive)
@@ -109,15 +109,16 @@
   }
 };
 
-/// The answer: what all others have in flight and ask for, and the speeds that the aggregator goes by.
+/// Response to a MemberReport: requests in flight and demand of all other daemons, and the speeds that the aggregator
+/// uses.
 struct LoadSum
 {
-  std::uint64_t run = 0; ///< The aggregator's.
+  std::uint64_t run = 0; ///< Run of the aggregator.
   InFlightCounts inFlight;
   DemandOfOthers demand;
   std::vector<SpeedReport> speeds;
-  LeaderNote leader;
-  std::vector<PoisonNote> poison; ///< All that the aggregator knows of.
+  LeaderAnnouncement leader;
+  std::vector<PoisonNote> poison; ///< All verdicts that the aggregator knows.
 
   template<class Archive>
   void serialize(Archive& aArchive)
@@ -131,20 +132,20 @@
   }
 };
 
-/// What the first aggregator of a group tells the aggregators of the others.
+/// Report of the first aggregator of a group to the aggregators of the other groups.
 struct GroupReport
 {
-  std::uint64_t run = 0; ///< The aggregator's.
+  std::uint64_t run = 0; ///< Run of the aggregator.
   std::uint64_t group = 0;
   bool hasUsage = false;
-  std::int64_t usageAge = 0; ///< Milliseconds since the member heard longest ago told its usage.
+  std::int64_t usageAge = 0; ///< Age of the oldest usage report among the members, in milliseconds.
   UsageByWindow usage;
   InFlightCounts inFlight;
   DemandOfOthers demand;           ///< Of the whole group.
   WorkByService workRate;          ///< Per second.
-  std::vector<SpeedReport> speeds; ///< Medians of what its members have learned.
-  LeaderNote leader;               ///< As one of the members has said.
-  std::vector<PoisonNote> poison;  ///< All that the aggregator knows of.
+  std::vector<SpeedReport> speeds; ///< Medians of what its members have measured.
+  LeaderAnnouncement leader;       ///< As one of the members has announced it.
+  std::vector<PoisonNote> poison;  ///< All verdicts that the aggregator knows.
 
   template<class Archive>
   void serialize(Archive& aArchive)
@@ -160,7 +161,7 @@
   }
 };
 
-/// Whether demand that was told can be reckoned with.
+/// Whether all values of a received demand are finite and not negative.
 [[nodiscard]] inline bool
 IsPlausible(const ClientDemand& aDemand)
 {
--- a/Lagoonward/Daemon/PeerClaimForwarder.cpp
+++ b/Lagoonward/Daemon/PeerClaimForwarder.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// What one daemon asks of another: to batch a claim, or to record an outcome.
+/// Request of one daemon to another to batch a claim or to record an outcome.
 struct ClaimMessage
 {
   bool isOutcome = false;
@@ -24,7 +24,7 @@
   }
 };
 
-/// What became of a forwarded claim.
+/// Response to a forwarded claim.
 struct ClaimReply
 {
   std::uint8_t verdict = 0;
@@ -43,7 +43,7 @@
   }
 };
 
-/// Longest wait for a peer that takes an outcome; losing one leaves the outcome "unknown".
+/// Longest wait for the receiver of an outcome. A lost message leaves the outcome "unknown".
 constexpr Milliseconds kOutcomeTimeout{ 1000 };
 
 Ran
@@ -66,7 +66,7 @@
   return reply;
 }
 
-/// What a reply means; anything unreadable counts as no answer.
+/// Decodes a reply. A malformed reply counts as none.
 ClaimAnswer
 ToAnswer(const Result<std::string>& aBytes)
 {
@@ -74,7 +74,7 @@
   answer.verdict = ClaimAnswer::Verdict::Unreachable;
   answer.maybeRecorded = true;
   if (!aBytes) {
-    // Nothing was carried out when no connection came about
+    // Without a connection nothing was recorded
     answer.maybeRecorded = aBytes.error().kind != ErrorKind::PlatformUnavailable;
     return answer;
   }
@@ -106,7 +106,7 @@
     [this](PeerKey, std::string_view aBytes, const PeerTransport::Respond& aRespond) {
       const auto message = DecodePeerMessage<ClaimMessage>(aBytes);
       if (!message) {
-        aRespond(Error(ErrorKind::InvalidRequest, "The claim is malformed."));
+        aRespond(Error(ErrorKind::InvalidRequest, "The forwarded claim is malformed."));
         return;
       }
       if (message->isOutcome) {
@@ -131,7 +131,8 @@
   message.budgetMs = static_cast<std::uint32_t>(aBudget.count());
   const auto address = this->membership.AddressOf(ToPeerKey(aDaemon));
   if (!address) {
-    aCallback(ToAnswer(Error(ErrorKind::PlatformUnavailable, "The daemon is not known.")));
+    aCallback(ToAnswer(Error(ErrorKind::PlatformUnavailable,
+                             "The daemon that batches the claim is not a known peer.")));
     return;
   }
   this->membership.Loop().Post([this, address = *address, bytes = EncodePeerMessage(message),
--- a/Lagoonward/Daemon/PeerClaimForwarder.h
+++ b/Lagoonward/Daemon/PeerClaimForwarder.h
@@ -5,15 +5,15 @@
 
 namespace lagoonward {
 
-/// Carries claims and outcomes over the peers' transport to the daemons that batch them, and takes
-/// those of others in.
+/// Forwards claims and outcomes over the peer transport to the daemons that batch them, and handles those that other
+/// daemons forward to this one.
 class PeerClaimForwarder final : public ClaimForwarder
 {
 public:
-  /// Must be made before the membership starts.
+  /// Must be constructed before the membership starts.
   explicit PeerClaimForwarder(MembershipService& aMembership);
 
-  /// Serves other daemons' claims from here on. Before the membership starts.
+  /// Starts to handle the claims of other daemons. Must be called before the membership starts.
   void Serve(ClaimService& aClaims);
 
   void ForwardClaim(const std::string& aDaemon, const lagoonward::Claim& aClaim,
--- a/Lagoonward/Daemon/PeerKeys.cpp
+++ b/Lagoonward/Daemon/PeerKeys.cpp
@@ -12,9 +12,9 @@
 
 const Log kLog("daemon");
 
-/// The key ring text when none is given.
+/// The text of a key ring with one key, derived from the cluster's name.
 std::string
-MakeOpenKey(const std::string& aCluster)
+MakeKeyOfName(const std::string& aCluster)
 {
   std::array<unsigned char, KeyRing::kKeyBytes> key{};
   crypto_generichash(key.data(), key.size(),
@@ -31,9 +31,10 @@
 ParsePeerKeys(const std::string& aText, const std::string& aCluster)
 {
   if (aText.empty()) {
-    kLog.Warning("No peer keys are set; whoever knows the cluster's name can speak as a daemon.");
+    kLog.Warning("No peer keys are set; any process that knows the cluster's name can authenticate "
+                 "as a daemon.");
   }
-  return KeyRing::Parse(aText.empty() ? MakeOpenKey(aCluster) : aText, aCluster);
+  return KeyRing::Parse(aText.empty() ? MakeKeyOfName(aCluster) : aText, aCluster);
 }
 
 } // namespace lagoonward
--- a/Lagoonward/Daemon/PeerMessages.h
+++ b/Lagoonward/Daemon/PeerMessages.h
@@ -11,7 +11,7 @@
 
 namespace lagoonward {
 
-/// Encodes a message between daemons as cereal's portable binary form.
+/// Encodes a message between daemons in cereal's portable binary format.
 template<typename Message>
 [[nodiscard]] std::string
 EncodePeerMessage(Message aMessage)
@@ -22,7 +22,7 @@
   return std::move(bytes).str();
 }
 
-/// Decodes a message. The transport bounds its size and has checked who sent it.
+/// Decodes a message. The transport has limited its size and authenticated its sender.
 /// @return nothing if it is malformed
 template<typename Message>
 [[nodiscard]] std::optional<Message>
--- a/Lagoonward/Daemon/PeerRequestDirectory.cpp
+++ b/Lagoonward/Daemon/PeerRequestDirectory.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// The request to read an answer; see RequestType.
+/// Type of the request to read an answer; see RequestType.
 constexpr auto kReadAnswer = RequestType::FirstForeign;
 
 struct QueryMessage
@@ -24,7 +24,7 @@
   }
 };
 
-struct PartMessage
+struct AnswerPartMessage
 {
   bool isKnown = false;
   bool isConflict = false;
@@ -48,10 +48,10 @@
   }
 };
 
-PartMessage
+AnswerPartMessage
 ToMessage(const AnswerPart& aPart)
 {
-  PartMessage message;
+  AnswerPartMessage message;
   message.isKnown = aPart.isKnown;
   message.isConflict = aPart.isConflict;
   message.tokens = aPart.tokens;
@@ -69,15 +69,14 @@
   return message;
 }
 
-/// The error that a message carries. Kinds and values that are not known here become Internal and
-/// Unknown.
+/// The error in a message. Unknown error kinds become Internal, unknown Ran values become Unknown.
 Error
-ToFailure(const PartMessage& aMessage)
+ToFailure(const AnswerPartMessage& aMessage)
 {
-  const bool isKind = aMessage.errorKind <= static_cast<std::uint16_t>(ErrorKind::Internal);
-  const bool isRan = aMessage.errorRan <= static_cast<std::uint8_t>(Ran::Yes);
-  return { isKind ? static_cast<ErrorKind>(aMessage.errorKind) : ErrorKind::Internal,
-           aMessage.errorMessage, isRan ? static_cast<Ran>(aMessage.errorRan) : Ran::Unknown };
+  const bool isKnownKind = aMessage.errorKind <= static_cast<std::uint16_t>(ErrorKind::Internal);
+  const bool isKnownRan = aMessage.errorRan <= static_cast<std::uint8_t>(Ran::Yes);
+  return { isKnownKind ? static_cast<ErrorKind>(aMessage.errorKind) : ErrorKind::Internal,
+           aMessage.errorMessage, isKnownRan ? static_cast<Ran>(aMessage.errorRan) : Ran::Unknown };
 }
 
 Result<AnswerPart>
@@ -86,9 +85,10 @@
   if (!aBytes) {
     return aBytes.error();
   }
-  auto message = DecodePeerMessage<PartMessage>(aBytes.value());
+  auto message = DecodePeerMessage<AnswerPartMessage>(aBytes.value());
   if (!message) {
-    return Error(ErrorKind::EndpointFailed, "A daemon's answer is malformed.");
+    return Error(ErrorKind::EndpointFailed,
+                 "The response of the daemon that serves the request is malformed.");
   }
   AnswerPart part;
   part.isKnown = message->isKnown;
@@ -111,7 +111,7 @@
   : settings(aSettings)
   , membership(aMembership)
   , fleet(aFleet)
-  , self(ToPeerKey(aOwnId))
+  , ownKey(ToPeerKey(aOwnId))
 {
 }
 
@@ -123,12 +123,12 @@
     kReadAnswer, [this](PeerKey, std::string_view aBytes, const PeerTransport::Respond& aRespond) {
       const auto query = DecodePeerMessage<QueryMessage>(aBytes);
       if (!query) {
-        aRespond(Error(ErrorKind::InvalidRequest, "The query is malformed."));
+        aRespond(Error(ErrorKind::InvalidRequest, "The query for an answer is malformed."));
         return;
       }
-      const AnswerQuery asked{ query->key, query->bodyHash,
-                               static_cast<std::size_t>(query->fromToken) };
-      const AnswerPart part = this->runs->ReadAnswer(asked, this->settings.maximumPartTokens);
+      const AnswerQuery answerQuery{ query->key, query->bodyHash,
+                                     static_cast<std::size_t>(query->fromToken) };
+      const AnswerPart part = this->runs->ReadAnswer(answerQuery, this->settings.maximumPartTokens);
       aRespond(EncodePeerMessage(ToMessage(part)));
     });
 }
@@ -139,7 +139,7 @@
   SoftRecord record;
   record.keyHash = HashBytes(aPlace.key);
   record.bodyHash = aPlace.bodyHash;
-  record.server = this->self;
+  record.server = this->ownKey;
   record.endpoint = ToEndpointKey(aPlace.endpointId);
   record.streamId = aPlace.streamId;
   record.revision = aPlace.revision;
@@ -151,20 +151,22 @@
 void
 PeerRequestDirectory::Find(const std::string& aKey, Found aFound)
 {
-  // Whichever comes first answers: the search or its limit. Both run on the control thread
+  // The search or its timeout completes the call, whichever comes first. Both run on the control thread
   const auto pending = std::make_shared<Found>(std::move(aFound));
-  const auto answer = [pending](std::optional<FoundRequest> aRequest) {
+  const auto complete = [pending](std::optional<FoundRequest> aRequest) {
     if (*pending) {
       const Found found = std::move(*pending);
       *pending = nullptr;
       found(std::move(aRequest));
     }
   };
-  this->membership.Loop().Post([this, answer, keyHash = HashBytes(aKey)] {
-    this->membership.Loop().After(this->settings.findLimit, [answer] { answer(std::nullopt); });
-    this->membership.FindRecord(keyHash, [this, answer](const std::optional<SoftRecord>& aRecord) {
-      answer(aRecord ? std::optional(this->Describe(*aRecord)) : std::nullopt);
-    });
+  this->membership.Loop().Post([this, complete, keyHash = HashBytes(aKey)] {
+    this->membership.Loop().After(this->settings.searchTimeout,
+                                  [complete] { complete(std::nullopt); });
+    this->membership.FindRecord(
+      keyHash, [this, complete](const std::optional<SoftRecord>& aRecord) {
+        complete(aRecord ? std::optional(this->ToFoundRequest(*aRecord)) : std::nullopt);
+      });
   });
 }
 
@@ -173,7 +175,8 @@
 {
   const auto address = this->membership.AddressOf(aServer);
   if (!address) {
-    aPart(Error(ErrorKind::PlatformUnavailable, "The serving daemon is gone."));
+    aPart(Error(ErrorKind::PlatformUnavailable,
+                "The daemon that serves the request is not a known peer any more."));
     return;
   }
   QueryMessage message;
@@ -189,15 +192,15 @@
 }
 
 FoundRequest
-PeerRequestDirectory::Describe(const SoftRecord& aRecord) const
+PeerRequestDirectory::ToFoundRequest(const SoftRecord& aRecord) const
 {
   FoundRequest found;
   found.server = aRecord.server;
   found.bodyHash = aRecord.bodyHash;
   found.streamId = aRecord.streamId;
-  // A record of this daemon's own is from before a restart
+  // A record that names this daemon itself is from before its restart
   found.isServerAlive =
-    aRecord.server != this->self && this->membership.AddressOf(aRecord.server).has_value();
+    aRecord.server != this->ownKey && this->membership.AddressOf(aRecord.server).has_value();
   const FleetSnapshotPtr snapshot = this->fleet.Get();
   for (const Endpoint& endpoint : snapshot->endpoints) {
     if (ToEndpointKey(endpoint.id) == aRecord.endpoint) {
--- a/Lagoonward/Daemon/PeerRequestDirectory.h
+++ b/Lagoonward/Daemon/PeerRequestDirectory.h
@@ -7,25 +7,25 @@
 
 namespace lagoonward {
 
-/// Tunables of the exchange about returning callers.
+/// Tunables of finding a repeated request and reading its answer.
 struct PeerRequestDirectorySettings
 {
-  Milliseconds findLimit{ 250 };        ///< Longest search before a request is simply run.
-  Milliseconds readTimeout{ 1000 };     ///< Longest wait for a part of an answer.
-  std::size_t maximumPartTokens = 2000; ///< Tokens in one part.
+  Milliseconds searchTimeout{ 250 };    ///< Longest search; after it the request is run anew.
+  Milliseconds readTimeout{ 1000 };     ///< Longest wait for one part of an answer.
+  std::size_t maximumPartTokens = 2000; ///< Most tokens in one part of an answer.
 };
 
-/// The request directory over the peers' transport: places are soft records with a sibling in another
-/// failure domain, answers are read from the serving daemon.
+/// Request directory over the peer transport. The place of a request is a soft record with a replica in another failure
+/// domain; its answer is read from the daemon that serves it.
 class PeerRequestDirectory final : public RequestDirectory
 {
 public:
-  /// Must be made before the membership starts.
+  /// Must be constructed before the membership starts.
   PeerRequestDirectory(const PeerRequestDirectorySettings& aSettings,
                        MembershipService& aMembership, const FleetStore& aFleet,
                        const std::string& aOwnId);
 
-  /// Serves other daemons from here on. Before the membership starts.
+  /// Starts to handle reads of other daemons. Must be called before the membership starts.
   void Serve(RunService& aRuns);
 
   void Place(const RequestPlace& aPlace) override;
@@ -33,12 +33,12 @@
   void Read(std::uint64_t aServer, const AnswerQuery& aQuery, Part aPart) override;
 
 private:
-  [[nodiscard]] FoundRequest Describe(const SoftRecord& aRecord) const;
+  [[nodiscard]] FoundRequest ToFoundRequest(const SoftRecord& aRecord) const;
 
   PeerRequestDirectorySettings settings;
   MembershipService& membership;
   const FleetStore& fleet;
-  PeerKey self;
+  PeerKey ownKey;
   RunService* runs = nullptr;
 };
 
--- a/Lagoonward/Daemon/PermitExchange.cpp
+++ b/Lagoonward/Daemon/PermitExchange.cpp
@@ -12,26 +12,26 @@
 
 const Log kLog("limits");
 
-/// The message, a PermitRequest that is answered by a PermitReply; numbers above RequestType::FirstForeign are this
-/// folder's.
+/// Type of the message, a PermitRequest whose response is a PermitReply; request types above RequestType::FirstForeign
+/// belong to this folder.
 constexpr auto kPermit =
   static_cast<RequestType>(static_cast<std::uint16_t>(RequestType::FirstForeign) + 8);
 
-/// Whether a request may be sent now.
+/// Whether the reply allows the request to be sent now.
 bool
-IsLeave(const PermitReply& aReply)
+IsPermitted(const PermitReply& aReply)
 {
   return aReply.answer == PermitAnswer::Granted || aReply.answer == PermitAnswer::Unlimited;
 }
 
-/// What two keepers' answers come to.
+/// Combines the replies of two owners.
 PermitReply
-Better(const PermitReply& aLeft, const PermitReply& aRight)
+CombineReplies(const PermitReply& aLeft, const PermitReply& aRight)
 {
   if (aLeft.answer == PermitAnswer::Wait && aRight.answer == PermitAnswer::Wait) {
     return { PermitAnswer::Wait, std::min(aLeft.wait, aRight.wait) };
   }
-  if (IsLeave(aLeft) || aRight.answer == PermitAnswer::NotKeeper) {
+  if (IsPermitted(aLeft) || aRight.answer == PermitAnswer::NotKeeper) {
     return aLeft;
   }
   return aRight;
@@ -39,19 +39,19 @@
 
 } // namespace
 
-PermitExchange::PermitExchange(const KeeperQuerySettings& aSettings, KeeperDirectory& aKeepers,
+PermitExchange::PermitExchange(const KeeperQuerySettings& aSettings, KeeperDirectory& aOwners,
                                MembershipService& aMembership, EndpointLimits& aLimits,
                                const Clock& aClock)
-  : keepers(aKeepers)
-  , book({}, aClock)
-  , query(aSettings, kPermit, aKeepers, aMembership, aClock)
+  : owners(aOwners)
+  , ledger({}, aClock)
+  , query(aSettings, kPermit, aOwners, aMembership, aClock)
 {
   aMembership.Transport().OnRequest(
     kPermit, [this](PeerKey, std::string_view aBytes, const PeerTransport::Respond& aRespond) {
       aRespond(this->Serve(aBytes));
     });
   aLimits.OnLifted(
-    [this](const PermitRequest& aNews) { this->Ask(aNews, [](const PermitReply&) {}); });
+    [this](const PermitRequest& aUpdate) { this->Ask(aUpdate, [](const PermitReply&) {}); });
 }
 
 std::string
@@ -59,7 +59,8 @@
 {
   const auto request = DecodeMessage<PermitRequest>(aBytes);
   if (!request) {
-    kLog.Warning("A daemon sent a malformed request for a permit.");
+    kLog.Warning("Received a malformed permit request from a peer; answers as a daemon that does "
+                 "not own the endpoint.");
     return EncodeMessage(PermitReply{});
   }
   return EncodeMessage(this->Serve(request.value()));
@@ -68,41 +69,43 @@
 PermitReply
 PermitExchange::Serve(const PermitRequest& aRequest)
 {
-  return this->book.Serve(aRequest, ReserveRoleOf(this->keepers, aRequest.endpoint),
-                          this->keepers.IsSettled(this->book.Takeover()));
+  return this->ledger.Serve(aRequest, ReserveRoleOf(this->owners, aRequest.endpoint),
+                            this->owners.IsSettled(this->ledger.Takeover()));
 }
 
 void
 PermitExchange::Ask(const PermitRequest& aRequest,
                     std::function<void(const PermitReply& aReply)> aAnswered)
 {
-  const KeeperRole role = this->keepers.RoleOf(aRequest.endpoint);
+  const KeeperRole role = this->owners.RoleOf(aRequest.endpoint);
   if (role == KeeperRole::Primary && aRequest.wants) {
     aAnswered(this->Serve(aRequest));
     return;
   }
-  const auto best = std::make_shared<PermitReply>();
-  KeyOwnerRequest question;
-  question.key = aRequest.endpoint;
-  question.message = EncodeMessage(aRequest);
-  question.onResponse = [best, wants = aRequest.wants](std::string_view aAnswer, bool /*aIsLate*/) {
-    const auto reply = DecodeMessage<PermitReply>(aAnswer);
+  const auto combined = std::make_shared<PermitReply>();
+  KeyOwnerRequest ownerRequest;
+  ownerRequest.key = aRequest.endpoint;
+  ownerRequest.message = EncodeMessage(aRequest);
+  ownerRequest.onResponse = [combined, wants = aRequest.wants](std::string_view aResponse,
+                                                               bool /*aIsLate*/) {
+    const auto reply = DecodeMessage<PermitReply>(aResponse);
     if (!reply || reply.value().answer > PermitAnswer::Unlimited) {
       return KeyOwnerResponseStatus::Malformed;
     }
-    *best = Better(*best, reply.value());
-    // News are for all keepers
-    return wants && IsLeave(*best) ? KeyOwnerResponseStatus::Completed
-                                   : KeyOwnerResponseStatus::AskNext;
+    *combined = CombineReplies(*combined, reply.value());
+    // An update, which wants no permit, goes to all owners
+    return wants && IsPermitted(*combined) ? KeyOwnerResponseStatus::Completed
+                                           : KeyOwnerResponseStatus::AskNext;
   };
-  question.onCompleted = [this, best, request = aRequest, answered = std::move(aAnswered), role] {
-    // News are for this daemon, too; its own part as the backup is for when the primary has none
-    if (role != KeeperRole::None && (!request.wants || !IsLeave(*best))) {
-      *best = Better(*best, this->Serve(request));
+  ownerRequest.onCompleted = [this, combined, request = aRequest, answered = std::move(aAnswered),
+                              role] {
+    // An update applies to this daemon, too. As the backup it grants from its own share only where the primary does not
+    if (role != KeeperRole::None && (!request.wants || !IsPermitted(*combined))) {
+      *combined = CombineReplies(*combined, this->Serve(request));
     }
-    answered(*best);
+    answered(*combined);
   };
-  this->query.Start(std::move(question));
+  this->query.Start(std::move(ownerRequest));
 }
 
 } // namespace lagoonward
--- a/Lagoonward/Daemon/PermitExchange.h
+++ b/Lagoonward/Daemon/PermitExchange.h
@@ -6,13 +6,13 @@
 
 namespace lagoonward {
 
-/// Asks the keepers of an endpoint that names a limit before a request is sent there, and answers for the endpoints that
-/// this daemon keeps. Two messages for a request to such an endpoint, none for any other.
+/// Asks the owners of an endpoint that states a rate limit for a permit before a request is sent there, and serves permits
+/// for the endpoints that this daemon owns. A request to such an endpoint takes two messages, to any other none.
 class PermitExchange final : public PermitLender
 {
 public:
-  /// Must be made before the membership starts; references must outlive it.
-  PermitExchange(const KeeperQuerySettings& aSettings, KeeperDirectory& aKeepers,
+  /// Must be constructed before the membership starts; references must outlive it.
+  PermitExchange(const KeeperQuerySettings& aSettings, KeeperDirectory& aOwners,
                  MembershipService& aMembership, EndpointLimits& aLimits, const Clock& aClock);
 
   void Ask(const PermitRequest& aRequest,
@@ -22,8 +22,8 @@
   [[nodiscard]] PermitReply Serve(const PermitRequest& aRequest);
   [[nodiscard]] std::string Serve(std::string_view aBytes);
 
-  KeeperDirectory& keepers;
-  PermitBook book;
+  KeeperDirectory& owners;
+  PermitBook ledger;
   KeeperQuery query;
 };
 
--- a/UnitTests/Daemon/LoadBookTests.cpp
+++ b/UnitTests/Daemon/LoadBookTests.cpp
@@ -70,7 +70,7 @@
     BOOST_TEST(fixture.book.OnGroup(GroupOf(fixture.clock, 100 + key, 1000 + key, kPerGroup)));
   }
   BOOST_TEST(fixture.book.Heard() == daemons);
-  BOOST_TEST(fixture.book.UsageOf(3).at("a") == 2 * daemons);
+  BOOST_TEST(fixture.book.UsageInWindow(3).at("a") == 2 * daemons);
   const LoadSum sum = fixture.book.SumFor(1);
   BOOST_TEST(sum.demand.daemons == daemons - 1);
   BOOST_REQUIRE(sum.inFlight.size() == 2U);
@@ -85,11 +85,11 @@
   // Another one of that group takes itself for the first, too
   BOOST_TEST(!fixture.book.OnGroup(GroupOf(fixture.clock, 9, kOtherGroup, 2)));
   BOOST_TEST(fixture.book.Heard() == 4);
-  fixture.clock.Advance(LoadBookSettings{}.succession + Milliseconds(1));
+  fixture.clock.Advance(LoadTableSettings{}.aggregatorTimeout + Milliseconds(1));
   BOOST_TEST(fixture.book.OnGroup(GroupOf(fixture.clock, 9, kOtherGroup, 2)));
   BOOST_TEST(fixture.book.Heard() == 2);
   // What the first one told of usage is not lost with it
-  BOOST_TEST(fixture.book.UsageOf(3).at("a") == 8);
+  BOOST_TEST(fixture.book.UsageInWindow(3).at("a") == 8);
 }
 
 BOOST_AUTO_TEST_CASE(ReportsOfOtherGroupsAreLeftOut)
@@ -101,13 +101,13 @@
   // Who belongs elsewhere from now on is told of there
   fixture.book.OnMember(ReportOf(5));
   fixture.book.SetGroup(kOtherGroup);
-  BOOST_TEST(fixture.book.UsageOf(3).empty());
+  BOOST_TEST(fixture.book.UsageInWindow(3).empty());
 }
 
 BOOST_AUTO_TEST_CASE(MoreGroupsThanAnywhereAreLeftOut)
 {
   VirtualClock clock;
-  LoadBookSettings settings;
+  LoadTableSettings settings;
   settings.maximumGroups = 1;
   LoadBook book(settings, 1, clock);
   BOOST_TEST(book.OnGroup(GroupOf(clock, 8, 1, 1)));
@@ -150,14 +150,14 @@
   fixture.book.OnGroup(GroupOf(fixture.clock, 8, kOtherGroup, 4));
   fixture.clock.Advance(Milliseconds(2000));
   fixture.book.OnMember(ReportOf(1));
-  BOOST_TEST(!fixture.book.IsUsageDue(Milliseconds(1500)));
+  BOOST_TEST(!fixture.book.IsUsageReportable(Milliseconds(1500)));
   // The group's sums came just now, but one of its members has not spoken since the window's end
   GroupReport late = GroupOf(fixture.clock, 8, kOtherGroup, 4);
   late.usageAge = 1900;
   fixture.book.OnGroup(late);
-  BOOST_TEST(!fixture.book.IsUsageDue(Milliseconds(1500)));
+  BOOST_TEST(!fixture.book.IsUsageReportable(Milliseconds(1500)));
   fixture.book.OnGroup(GroupOf(fixture.clock, 8, kOtherGroup, 4));
-  BOOST_TEST(fixture.book.IsUsageDue(Milliseconds(1500)));
+  BOOST_TEST(fixture.book.IsUsageReportable(Milliseconds(1500)));
 }
 
 /// Load pattern: a fleet of 300 daemons whose leader is no aggregator; reports keep step, each an interval of 424 ms after the
@@ -179,7 +179,7 @@
   clock.Advance(2 * kInterval);
   BOOST_TEST(far.SumFor(9).leader.id == "leader");
   BOOST_TEST(far.GroupSum(false).leader.age == 3 * kInterval.count());
-  clock.Advance(LoadBookSettings{}.silence);
+  clock.Advance(LoadTableSettings{}.silenceTimeout);
   BOOST_TEST(far.SumFor(9).leader.id.empty());
 }
 
