--- a/Lagoonward/Daemon/DemandExchange.h
+++ b/Lagoonward/Daemon/DemandExchange.h
@@ -16,9 +16,9 @@
     32; ///< Further peers are served round-robin; see docs/CAPACITY.md.
 };
 
-/// Sends the demand of each client at this daemon to the other daemons of the region, so that limits per client hold over
-/// the whole deployment, and with it the verdicts on requests that crash endpoints. Applies what the others send. Runs on
-/// the control thread.
+/// Sends the demand of each client at this daemon to the other daemons of the region, so that limits per client hold
+/// over the whole deployment, and with it the verdicts on requests that crash endpoints. Applies what the others send.
+/// Runs on the control thread.
 class DemandExchange
 {
 public:
--- a/Lagoonward/Daemon/DutyService.h
+++ b/Lagoonward/Daemon/DutyService.h
@@ -60,9 +60,9 @@
 
 /// Runs the leader tasks, which one daemon at a time does for the deployment: reporting usage and ordering endpoints.
 /// The daemon that holds the lease acts. All daemons that may lead receive the counts of all daemons (LoadExchange), so
-/// that a successor has them too. After another daemon has led, a new leader sends no order for `quiet`, so that
-/// orders never alternate between daemons within the time in which the platform forbids it. Has one thread for the lease
-/// and one for the tasks.
+/// that a successor has them too. After another daemon has led, a new leader sends no order for `quiet`, so that orders
+/// never alternate between daemons within the time in which the platform forbids it. Has one thread for the lease and
+/// one for the tasks.
 class DutyService final : public Service
 {
 public:
@@ -96,8 +96,8 @@
   [[nodiscard]] UsageReporterPorts MakeUsagePorts();
   void ScaleServices();
   void ScaleService(const RelayServiceFacts& aService);
-  /// Prompt tokens per second that an endpoint of the service processes, as the router estimates it; zero while unknown.
-  /// For logs.
+  /// Prompt tokens per second that an endpoint of the service processes, as the router estimates it; zero while
+  /// unknown. For logs.
   [[nodiscard]] double PrefillRate(const std::string& aService) const;
   [[nodiscard]] std::map<std::string, DomainCount> CountLive(const std::string& aService) const;
 
--- a/Lagoonward/Daemon/FleetManagerSettings.h
+++ b/Lagoonward/Daemon/FleetManagerSettings.h
@@ -31,8 +31,9 @@
   /// Longest wait of a drain until the log shows that the leases have been resigned.
   Milliseconds resignTimeout{ 2500 };
 
-  /// Time without orders after a daemon becomes the leader, where it has known the fleet for at least `placement.settle`
-  /// less this time. Otherwise it waits until `placement.settle` has passed since it first knew the fleet.
+  /// Time without orders after a daemon becomes the leader, where it has known the fleet for at least
+  /// `placement.settle` less this time. Otherwise it waits until `placement.settle` has passed since it first knew the
+  /// fleet.
   Milliseconds takeoverDelay{ 3000 };
 
   int maximumUnansweredOrders =
--- a/Lagoonward/Daemon/HttpOrderSender.h
+++ b/Lagoonward/Daemon/HttpOrderSender.h
@@ -7,8 +7,8 @@
 
 namespace lagoonward {
 
-/// Sends orders over HTTP: `POST /v1/orders`, see docs/INTERFACES.md. Opens a connection per order, since orders are few
-/// and go to many engines. Thread-safe.
+/// Sends orders over HTTP: `POST /v1/orders`, see docs/INTERFACES.md. Opens a connection per order, since orders are
+/// few and go to many engines. Thread-safe.
 class HttpOrderSender final : public OrderSender
 {
 public:
--- a/Lagoonward/Daemon/LeaseFollower.h
+++ b/Lagoonward/Daemon/LeaseFollower.h
@@ -30,11 +30,11 @@
                 const std::string& aRegion, std::string aDaemonId, std::string aIncarnation,
                 LogService& aLog, const Clock& aClock);
 
-  /// Reads the stream once, and appends a record if one is due. A holder skips the read while its append directly follows
-  /// the records that it has read: a record of another daemon would stand between. A daemon that receives the leader's
-  /// own announcements skips the read, too.
+  /// Reads the stream once, and appends a record if one is due. A holder skips the read while its append directly
+  /// follows the records that it has read: a record of another daemon would stand between. A daemon that receives the
+  /// leader's own announcements skips the read, too.
   /// @param aRank              rank among the region's daemons; zero is the first candidate
-  /// @param aAnnouncedFencing  fencing number of another daemon that has just announced that it leads; kNoOffset for none
+  /// @param aAnnouncedFencing  fencing number of another daemon that has just announced its lead; kNoOffset for none
   /// @return how long to wait before the next step
   [[nodiscard]] Milliseconds Step(int aRank, Offset aAnnouncedFencing = kNoOffset);
 
--- a/Lagoonward/Daemon/LimitLoans.h
+++ b/Lagoonward/Daemon/LimitLoans.h
@@ -10,9 +10,9 @@
 [[nodiscard]] ReserveRole
 ReserveRoleOf(KeeperDirectory& aOwners, std::uint64_t aKey);
 
-/// Borrows tokens of clients' limits from the daemons that own the reserves (KeeperDirectory), and lends from the reserves
-/// that this daemon owns. The primary reserve is asked first, the backup where the primary refuses or does not respond in
-/// time. A loan that arrives late is credited, so that a later request can use it.
+/// Borrows tokens of clients' limits from the daemons that own the reserves (KeeperDirectory), and lends from the
+/// reserves that this daemon owns. The primary reserve is asked first, the backup where the primary refuses or does not
+/// respond in time. A loan that arrives late is credited, so that a later request can use it.
 class LimitLoans final : public LimitLender
 {
 public:
--- a/Lagoonward/Daemon/LoadBook.h
+++ b/Lagoonward/Daemon/LoadBook.h
@@ -21,8 +21,8 @@
   }; ///< A daemon or group that has sent no report for this long is left out of the sums.
   /// The sums of a group are accepted from one aggregator only, until it has sent none for this long: three messages.
   Milliseconds aggregatorTimeout{ 1200 };
-  /// Reports of further groups are rejected, so that no sender can exhaust the memory. Far more than the failure domains
-  /// of any deployment.
+  /// Reports of further groups are rejected, so that no sender can exhaust the memory. Far more than the failure
+  /// domains of any deployment.
   std::size_t maximumGroups = 512;
 };
 
@@ -37,15 +37,15 @@
   /// @param aRun  identifies this daemon and this run of it
   LoadBook(const LoadTableSettings& aSettings, std::uint64_t aRun, const Clock& aClock);
 
-  /// Sets the group that this daemon belongs to. A change clears all reports, since other aggregators report the members
-  /// of the previous group from then on.
+  /// Sets the group that this daemon belongs to. A change clears all reports, since other aggregators report the
+  /// members of the previous group from then on.
   void SetGroup(std::uint64_t aGroup);
 
   /// Applies a member's report. A report that names another group is ignored, except for its leader announcement.
   void OnMember(const MemberReport& aReport);
 
-  /// Applies the sums that the first aggregator of another group has sent. While two aggregators send sums for one group,
-  /// those of the one that was received first count.
+  /// Applies the sums that the first aggregator of another group has sent. While two aggregators send sums for one
+  /// group, those of the one that was received first count.
   /// @return false where the report was ignored
   bool OnGroup(const GroupReport& aReport);
 
@@ -53,7 +53,8 @@
   [[nodiscard]] LoadSum SumFor(std::uint64_t aRun);
 
   /// The sums of this group, and the medians of the speeds that its members have measured. The speeds in use are not
-  /// sent: they come from other groups in part, and sent back to these they would keep all groups at the first estimate.
+  /// sent: they come from other groups in part, and sent back to these they would keep all groups at the first
+  /// estimate.
   [[nodiscard]] GroupReport GroupSum(bool aHasUsage);
 
   /// Requests per account that started in a window, over all daemons.
--- a/Lagoonward/Daemon/LoadExchange.h
+++ b/Lagoonward/Daemon/LoadExchange.h
@@ -31,8 +31,8 @@
   /// Added to three intervals for the age at which a leader's announcement expires: allows for one late message.
   Milliseconds leaderMargin{ 400 };
 
-  /// The next aggregator is asked for the sum, too, after the first has sent none for this long: two missed reports and a
-  /// message in transit.
+  /// The next aggregator is asked for the sum, too, after the first has sent none for this long: two missed reports and
+  /// a message in transit.
   Milliseconds sumTimeout{ 1000 };
 };
 
@@ -81,9 +81,9 @@
   /// This daemon's rank among the candidates for leadership; their number if it is none of them. Any thread.
   [[nodiscard]] int ElectionRank() const;
 
-  /// The leader, until its announcement is older than three intervals and `leaderMargin`; then an empty announcement. An
-  /// announcement passes through the leader's group and another one, an interval each, and is read an interval later.
-  /// Any thread.
+  /// The leader, until its announcement is older than three intervals and `leaderMargin`; then an empty announcement.
+  /// An announcement passes through the leader's group and another one, an interval each, and is read an interval
+  /// later. Any thread.
   [[nodiscard]] LeaderAnnouncement Leader() const;
 
   /// See LoadBook. Any thread. Complete only at aggregators and at the leader.
--- a/Lagoonward/Daemon/LoadMessages.h
+++ b/Lagoonward/Daemon/LoadMessages.h
@@ -80,7 +80,8 @@
   }
 };
 
-/// Report of a daemon to the aggregators of its group. Usage and work are cumulative, so a lost message only delays them.
+/// Report of a daemon to the aggregators of its group. Usage and work are cumulative, so a lost message only delays
+/// them.
 struct MemberReport
 {
   std::uint64_t run = 0;   ///< Identifies the daemon and this run of it.
--- a/Lagoonward/Daemon/MarketLeader.h
+++ b/Lagoonward/Daemon/MarketLeader.h
@@ -28,8 +28,8 @@
 };
 
 /// While this daemon leads a market: reconciles the market's fleet with the manifest and executes the orders, each with
-/// an authorization of its own from the lease. Level-triggered: a failed order is issued again by a later reconciliation.
-/// Blocks in the calls of the OrderTargets; used by one thread.
+/// an authorization of its own from the lease. Level-triggered: a failed order is issued again by a later
+/// reconciliation. Blocks in the calls of the OrderTargets; used by one thread.
 class MarketLeader
 {
 public:
--- a/Lagoonward/Daemon/PermitExchange.h
+++ b/Lagoonward/Daemon/PermitExchange.h
@@ -6,8 +6,9 @@
 
 namespace lagoonward {
 
-/// Asks the owners of an endpoint that states a rate limit for a permit before a request is sent there, and serves permits
-/// for the endpoints that this daemon owns. A request to such an endpoint takes two messages, to any other none.
+/// Asks the owners of an endpoint that states a rate limit for a permit before a request is sent there, and serves
+/// permits for the endpoints that this daemon owns. A request to such an endpoint takes two messages, to any other
+/// none.
 class PermitExchange final : public PermitLender
 {
 public:
--- a/UnitTests/Daemon/CrashExchangeTests.cpp
+++ b/UnitTests/Daemon/CrashExchangeTests.cpp
@@ -11,26 +11,26 @@
 
 constexpr std::uint64_t kRequest = 4711;
 
-/// One daemon that sees endpoints crash.
+/// One daemon that observes crashes of endpoints.
 struct Daemon
 {
   Daemon(const Clock& aClock, int aIndex)
     : membership(aClock, LoopbackIdentity(aIndex), LoopbackKeys(), {}, PollNothing)
-    , guard({}, aClock)
+    , poisonFilter({}, aClock)
     , keepers(LoopbackIdentity(aIndex).self, aClock)
-    , crashes({}, keepers, membership, guard, aClock)
+    , crashExchange({}, keepers, membership, poisonFilter, aClock)
   {
     this->membership.OnPeers([this](const PeerViewPtr& aView) {
       this->keepers.OnPeers(*aView);
-      this->crashes.OnKeepers();
+      this->crashExchange.OnKeepers();
     });
     BOOST_TEST_REQUIRE(this->membership.Start().has_value());
   }
 
   MembershipService membership;
-  PoisonGuard guard;
+  PoisonGuard poisonFilter;
   KeeperDirectory keepers;
-  CrashExchange crashes;
+  CrashExchange crashExchange;
 };
 
 struct Fleet : LoopbackFleet<Daemon, 4>
@@ -38,7 +38,7 @@
   /// An endpoint crashes at a daemon, in a failure domain of its own.
   void Crash(std::size_t aDaemon, std::uint64_t aEndpoint)
   {
-    this->daemons[aDaemon]->guard.OnCrash({ kRequest, aEndpoint, aEndpoint, 0, 0 });
+    this->daemons[aDaemon]->poisonFilter.OnCrash({ kRequest, aEndpoint, aEndpoint, 0, 0 });
   }
 };
 
@@ -46,20 +46,23 @@
 
 BOOST_FIXTURE_TEST_SUITE(CrashExchangeTests, Fleet)
 
-/// Seen: eight daemons each judged by what they had seen themselves, so that a request crashed endpoints at each.
-BOOST_AUTO_TEST_CASE(CrashesAtThreeDaemonsConvictAtBothKeepers)
+/// Guards against daemons that judge a request by their own crashes only: with eight such daemons it crashed endpoints
+/// at each of them.
+BOOST_AUTO_TEST_CASE(CrashesAtThreeDaemonsPoisonTheRequestAtBothOwners)
 {
   for (std::size_t daemon = 0; daemon < 3; ++daemon) {
     this->Crash(daemon, daemon + 1);
   }
   const Keepers keepers = this->KeepersOf(kRequest);
   for (const auto& keeper : { keepers.primary, keepers.backup }) {
-    Await([&] { return this->daemons[LoopbackIndexOf(keeper->key)]->guard.IsPoisoned(kRequest); });
+    Await([&] {
+      return this->daemons[LoopbackIndexOf(keeper->key)]->poisonFilter.IsPoisoned(kRequest);
+    });
   }
 }
 
-/// The keepers' memory goes with them; those who saw the crashes tell them anew.
-BOOST_AUTO_TEST_CASE(WhoKeepsTheRequestNextIsToldWhatWasSeen)
+/// Owners that stop lose the reports; the daemons that observed the crashes send them again to the new owners.
+BOOST_AUTO_TEST_CASE(NewOwnersReceiveCrashesObservedEarlier)
 {
   const Keepers keepers = this->KeepersOf(kRequest);
   const std::size_t primary = LoopbackIndexOf(keepers.primary->key);
@@ -72,12 +75,12 @@
   }
   this->Crash(others[0], 1);
   this->Crash(others[1], 2);
-  Await([&] { return this->daemons[primary]->guard.IsSuspect(kRequest); });
+  Await([&] { return this->daemons[primary]->poisonFilter.IsSuspect(kRequest); });
   this->daemons[primary]->membership.Stop();
   this->daemons[backup]->membership.Stop();
-  // The two that are left are the keepers now, each of what the other saw, too
+  // The remaining two are the owners now, and each has received the other's crash
   for (const std::size_t index : others) {
-    Await([&] { return this->daemons[index]->guard.IsSuspect(kRequest); });
+    Await([&] { return this->daemons[index]->poisonFilter.IsSuspect(kRequest); });
   }
 }
 
--- a/UnitTests/Daemon/HttpOrderSenderTests.cpp
+++ b/UnitTests/Daemon/HttpOrderSenderTests.cpp
@@ -9,7 +9,7 @@
 
 BOOST_AUTO_TEST_SUITE(HttpOrderSenderTests)
 
-BOOST_AUTO_TEST_CASE(SendsTheOrderAndTellsRefusalsApart)
+BOOST_AUTO_TEST_CASE(OrderIsSentAndEachStatusMapsToItsErrorKind)
 {
   FakeAnswer answer{ 200, R"({"order_id":"o","state":"accepted"})", {} };
   FakeRequest last;
--- a/UnitTests/Daemon/LeaseFollowerTests.cpp
+++ b/UnitTests/Daemon/LeaseFollowerTests.cpp
@@ -31,7 +31,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(LeaseFollowerTests, Fixture)
 
-BOOST_AUTO_TEST_CASE(FirstLeadsAndASilentLeaderIsSucceeded)
+BOOST_AUTO_TEST_CASE(FirstCandidateLeadsAndAKilledLeaderIsSucceeded)
 {
   Run(this->first, 0, Seconds(2));
   BOOST_TEST(this->first.Status().held);
@@ -46,7 +46,7 @@
   BOOST_TEST(!this->first.Status().held);
 }
 
-BOOST_AUTO_TEST_CASE(LostAnswersAndOutagesOfTheLog)
+BOOST_AUTO_TEST_CASE(LeaseIsLostInALogOutageAndRegainedAfterwards)
 {
   this->log.FailAppends({ FakeLogService::Fault::AnswerLost });
   Run(this->first, 0, Seconds(2));
@@ -54,7 +54,7 @@
   this->log.SetDown(true);
   Run(this->first, 0, Seconds(12));
   BOOST_TEST(!this->first.Status().held);
-  // Past the lease only what checks fencing numbers may be ordered
+  // After the lease has expired, only orders whose receiver checks fencing numbers are authorized
   BOOST_TEST(this->first.Authorize(OrderKind::Load, true).has_value());
   BOOST_TEST(!this->first.Authorize(OrderKind::Load, false).has_value());
   BOOST_TEST(!this->first.Authorize(OrderKind::StartHost, false).has_value());
@@ -63,7 +63,7 @@
   BOOST_TEST(this->first.Status().held);
 }
 
-BOOST_AUTO_TEST_CASE(ResigningLetsTheNextOneLeadSoon)
+BOOST_AUTO_TEST_CASE(ResignedLeaderIsSucceededWithinSeconds)
 {
   Run(this->first, 0, Seconds(2));
   this->first.Resign();
@@ -89,7 +89,7 @@
   BOOST_TEST(this->first.Status().fencing > fencing);
 }
 
-BOOST_AUTO_TEST_CASE(ALeaderThatCameAndWentWhileThisOneWasPausedIsNoticed)
+BOOST_AUTO_TEST_CASE(LeaderThatResignedWhileThisDaemonWasPausedIsRecorded)
 {
   Run(this->first, 0, Seconds(2));
   const TimePoint before = this->first.OtherLeaderSeenAt();
@@ -97,27 +97,27 @@
   BOOST_REQUIRE(this->second.Status().held);
   this->second.Resign();
   Run(this->second, 0, Seconds(1));
-  // All of it is read in one step, after which nobody leads
+  // One step reads the other's whole tenure, after which no daemon leads
   static_cast<void>(this->first.Step(0));
   BOOST_TEST(this->first.Status().holder.empty());
   BOOST_TEST((this->first.OtherLeaderSeenAt() > before));
   BOOST_TEST((this->first.OtherLeaderSeenAt() == this->clock.BootNow()));
 }
 
-BOOST_AUTO_TEST_CASE(AnotherLeaderIsNoticedForAsLongAsItLeads)
+BOOST_AUTO_TEST_CASE(OtherLeaderIsRecordedForAsLongAsItLeads)
 {
   Run(this->first, 0, Seconds(2));
   static_cast<void>(this->second.Step(1));
   this->clock.Advance(Seconds(5));
   static_cast<void>(this->second.Step(1));
   BOOST_TEST((this->second.OtherLeaderSeenAt() == this->clock.BootNow()));
-  // Its own tenure is no other's
+  // A daemon's own tenure is not recorded as another leader's
   const TimePoint seen = this->first.OtherLeaderSeenAt();
   Run(this->first, 0, Seconds(5));
   BOOST_TEST((this->first.OtherLeaderSeenAt() == seen));
 }
 
-BOOST_AUTO_TEST_CASE(AHolderRenewsWithoutReading)
+BOOST_AUTO_TEST_CASE(HolderRenewsWithoutReading)
 {
   Run(this->first, 0, Seconds(5));
   BOOST_REQUIRE(this->first.Status().held);
@@ -129,7 +129,7 @@
   BOOST_TEST(this->log.End(LeaseStream("utslipp", "vestland")) > end);
 }
 
-BOOST_AUTO_TEST_CASE(AHolderReadsWhatStandsBeforeItsAppend)
+BOOST_AUTO_TEST_CASE(HolderReadsAfterAForeignRecordPrecedesItsAppend)
 {
   Run(this->first, 0, Seconds(5));
   const Offset fencing = this->first.Status().fencing;
@@ -141,7 +141,7 @@
   BOOST_TEST(this->first.Status().fencing == fencing);
 }
 
-BOOST_AUTO_TEST_CASE(WhoHearsOfTheLeaderAsksNobody)
+BOOST_AUTO_TEST_CASE(AnnouncedLeaderMakesReadsUnnecessary)
 {
   Run(this->first, 0, Seconds(2));
   const Offset fencing = this->first.Status().fencing;
@@ -151,13 +151,13 @@
   }
   BOOST_TEST(this->log.Reads() == reads);
   BOOST_TEST((this->second.OtherLeaderSeenAt() > this->clock.BootNow() - Seconds(1)));
-  // The leader is killed and heard of no more
+  // The leader is killed and sends no more announcements
   Run(this->second, 0, Seconds(20));
   BOOST_TEST(this->second.Status().held);
   BOOST_TEST(this->second.Status().fencing > fencing);
 }
 
-BOOST_AUTO_TEST_CASE(AnOlderTenureThatIsStillHeardOfIsNotBelieved)
+BOOST_AUTO_TEST_CASE(AnnouncementOfAnEndedTenureIsIgnored)
 {
   Run(this->first, 0, Seconds(2));
   const Offset older = this->first.Status().fencing;
--- a/UnitTests/Daemon/LimitLoansTests.cpp
+++ b/UnitTests/Daemon/LimitLoansTests.cpp
@@ -16,7 +16,7 @@
 
 constexpr int kDaemons = 3;
 
-/// One daemon that takes part in the loans of one account's limit.
+/// One daemon that borrows and lends tokens of one account's limit.
 struct Daemon
 {
   Daemon(const Clock& aClock, int aIndex)
@@ -47,7 +47,7 @@
     return settings;
   }
 
-  /// Borrows where that may help, and looks at the limit again. @return whether the request is admitted
+  /// Borrows where the local tokens do not suffice, then asks the admission. @return whether the request is admitted
   bool Ask(double aTokens)
   {
     const AdmissionRequest request{ kAccount, 0, aTokens };
@@ -70,7 +70,7 @@
 {
   Fleet()
   {
-    // A reserve fills while the daemons hear of each other
+    // A reserve fills while the daemons receive each other's reports
     for (int interval = 0; interval < 12; ++interval) {
       for (const auto& daemon : this->daemons) {
         static_cast<void>(daemon->admission.TakeDemand());
@@ -80,46 +80,46 @@
     }
   }
 
-  [[nodiscard]] Keepers Holders() const { return this->KeepersOf(HashBytes(kAccount)); }
+  [[nodiscard]] Keepers Owners() const { return this->KeepersOf(HashBytes(kAccount)); }
 };
 
 } // namespace
 
 BOOST_FIXTURE_TEST_SUITE(LimitLoansTests, Fleet)
 
-BOOST_AUTO_TEST_CASE(ALargeRequestIsTakenAtTheDaemonThatKeepsNothing)
+BOOST_AUTO_TEST_CASE(LargeRequestIsAdmittedWhereTheDaemonOwnsNoReserve)
 {
-  const Keepers holders = this->Holders();
+  const Keepers owners = this->Owners();
   const std::size_t third =
-    3 - LoopbackIndexOf(holders.primary->key) - LoopbackIndexOf(holders.backup->key);
+    3 - LoopbackIndexOf(owners.primary->key) - LoopbackIndexOf(owners.backup->key);
   BOOST_TEST(this->daemons[third]->Ask(6000));
-  // That was the primary reserve; what is left does not suffice, and asking is put off
+  // That emptied the primary reserve; the rest does not suffice, and the next request for a loan is delayed
   BOOST_TEST(!this->daemons[third]->Ask(9000));
   BOOST_TEST(!this->daemons[third]->admission.WantedLoan({ kAccount, 0, 9000 }).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(TheBackupLendsWhereThePrimaryIsGone)
+BOOST_AUTO_TEST_CASE(BackupLendsAfterThePrimaryStopped)
 {
-  const Keepers holders = this->Holders();
-  const std::size_t primary = LoopbackIndexOf(holders.primary->key);
-  const std::size_t third = 3 - primary - LoopbackIndexOf(holders.backup->key);
+  const Keepers owners = this->Owners();
+  const std::size_t primary = LoopbackIndexOf(owners.primary->key);
+  const std::size_t third = 3 - primary - LoopbackIndexOf(owners.backup->key);
   this->daemons[primary]->membership.Stop();
   const auto begun = std::chrono::steady_clock::now();
   BOOST_TEST(this->daemons[third]->Ask(1500));
   BOOST_TEST((std::chrono::steady_clock::now() - begun < Seconds(2)));
 }
 
-BOOST_AUTO_TEST_CASE(ADaemonThatLeavesLendsNothingMore)
+BOOST_AUTO_TEST_CASE(DrainingDaemonLendsNothing)
 {
-  const Keepers holders = this->Holders();
-  const std::size_t primary = LoopbackIndexOf(holders.primary->key);
+  const Keepers owners = this->Owners();
+  const std::size_t primary = LoopbackIndexOf(owners.primary->key);
   this->daemons[primary]->keepers.Drain();
   this->daemons[primary]->loans.OnKeepers();
   BOOST_TEST(this->daemons[primary]->admission.Lend({ HashBytes(kAccount), 100, 100, {} }).tokens ==
              0);
 }
 
-BOOST_AUTO_TEST_CASE(NonsenseIsAnsweredWithNothing)
+BOOST_AUTO_TEST_CASE(UnknownClientGetsNoLoan)
 {
   const Loan loan = this->daemons[0]->admission.Lend({ 12345, 100, 100, {} });
   BOOST_TEST(loan.tokens == 0);
--- a/UnitTests/Daemon/LoadBookTests.cpp
+++ b/UnitTests/Daemon/LoadBookTests.cpp
@@ -29,141 +29,142 @@
 struct Fixture
 {
   Fixture()
-    : book({}, 1, clock)
+    : table({}, 1, clock)
   {
-    this->book.SetGroup(kGroup);
+    this->table.SetGroup(kGroup);
   }
 
   VirtualClock clock;
-  LoadBook book;
+  LoadBook table;
 };
 
-/// What the first aggregator of a group tells after its members have reported.
+/// The report of a group's first aggregator after its members have reported.
 GroupReport
 GroupOf(const Clock& aClock, std::uint64_t aRun, std::uint64_t aGroup, int aMembers)
 {
-  LoadBook book({}, aRun, aClock);
-  book.SetGroup(aGroup);
+  LoadBook table({}, aRun, aClock);
+  table.SetGroup(aGroup);
   for (int member = 0; member < aMembers; ++member) {
-    book.OnMember(ReportOf(aRun * 1000 + static_cast<std::uint64_t>(member), aGroup));
+    table.OnMember(ReportOf(aRun * 1000 + static_cast<std::uint64_t>(member), aGroup));
   }
-  return book.GroupSum(true);
+  return table.GroupSum(true);
 }
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(LoadBookTests)
 
-/// Load pattern: a fleet of any size, every daemon with a few requests in flight and some usage. Grounds: whoever
-/// leads must report the usage of all, and a daemon must hear of all the others' requests, whatever the size.
-BOOST_DATA_TEST_CASE(EveryDaemonOfAFleetOfAnySizeIsCountedOnce,
+/// Load pattern: a fleet of any size, every daemon with a few requests in flight and some usage. Guards against daemons
+/// that are missed or counted twice: the leader reports the usage of all daemons, and each daemon needs the requests in
+/// flight of all others, whatever the size.
+BOOST_DATA_TEST_CASE(EachDaemonIsCountedOnceInFleetsOfAnySize,
                      boost::unit_test::data::make({ 20, 100, 300, 600 }), daemons)
 {
   constexpr int kPerGroup = 10;
   Fixture fixture;
   const int groups = daemons / kPerGroup;
   for (int member = 0; member < kPerGroup; ++member) {
-    fixture.book.OnMember(ReportOf(static_cast<std::uint64_t>(member) + 1));
+    fixture.table.OnMember(ReportOf(static_cast<std::uint64_t>(member) + 1));
   }
   for (int group = 1; group < groups; ++group) {
     const auto key = static_cast<std::uint64_t>(group);
-    BOOST_TEST(fixture.book.OnGroup(GroupOf(fixture.clock, 100 + key, 1000 + key, kPerGroup)));
+    BOOST_TEST(fixture.table.OnGroup(GroupOf(fixture.clock, 100 + key, 1000 + key, kPerGroup)));
   }
-  BOOST_TEST(fixture.book.Heard() == daemons);
-  BOOST_TEST(fixture.book.UsageInWindow(3).at("a") == 2 * daemons);
-  const LoadSum sum = fixture.book.SumFor(1);
+  BOOST_TEST(fixture.table.Heard() == daemons);
+  BOOST_TEST(fixture.table.UsageInWindow(3).at("a") == 2 * daemons);
+  const LoadSum sum = fixture.table.SumFor(1);
   BOOST_TEST(sum.demand.daemons == daemons - 1);
   BOOST_REQUIRE(sum.inFlight.size() == 2U);
   BOOST_TEST(sum.inFlight.front().second == daemons - 1);
   BOOST_TEST(sum.demand.demand.front().running == daemons - 1);
 }
 
-BOOST_AUTO_TEST_CASE(OneGroupsSumsComeFromOneAggregatorUntilItIsSilent)
+BOOST_AUTO_TEST_CASE(SumsOfAGroupAreTakenFromOneAggregatorUntilItStopsSending)
 {
   Fixture fixture;
-  BOOST_TEST(fixture.book.OnGroup(GroupOf(fixture.clock, 8, kOtherGroup, 4)));
-  // Another one of that group takes itself for the first, too
-  BOOST_TEST(!fixture.book.OnGroup(GroupOf(fixture.clock, 9, kOtherGroup, 2)));
-  BOOST_TEST(fixture.book.Heard() == 4);
+  BOOST_TEST(fixture.table.OnGroup(GroupOf(fixture.clock, 8, kOtherGroup, 4)));
+  // A second daemon of that group regards itself as the first aggregator, too
+  BOOST_TEST(!fixture.table.OnGroup(GroupOf(fixture.clock, 9, kOtherGroup, 2)));
+  BOOST_TEST(fixture.table.Heard() == 4);
   fixture.clock.Advance(LoadTableSettings{}.aggregatorTimeout + Milliseconds(1));
-  BOOST_TEST(fixture.book.OnGroup(GroupOf(fixture.clock, 9, kOtherGroup, 2)));
-  BOOST_TEST(fixture.book.Heard() == 2);
-  // What the first one told of usage is not lost with it
-  BOOST_TEST(fixture.book.UsageInWindow(3).at("a") == 8);
+  BOOST_TEST(fixture.table.OnGroup(GroupOf(fixture.clock, 9, kOtherGroup, 2)));
+  BOOST_TEST(fixture.table.Heard() == 2);
+  // The usage that the first aggregator reported remains
+  BOOST_TEST(fixture.table.UsageInWindow(3).at("a") == 8);
 }
 
-BOOST_AUTO_TEST_CASE(ReportsOfOtherGroupsAreLeftOut)
+BOOST_AUTO_TEST_CASE(MemberReportsOfOtherGroupsAndSumsOfTheOwnGroupAreIgnored)
 {
   Fixture fixture;
-  fixture.book.OnMember(ReportOf(5, kOtherGroup));
-  BOOST_TEST(fixture.book.Heard() == 0);
-  BOOST_TEST(!fixture.book.OnGroup(GroupOf(fixture.clock, 8, kGroup, 4)));
-  // Who belongs elsewhere from now on is told of there
-  fixture.book.OnMember(ReportOf(5));
-  fixture.book.SetGroup(kOtherGroup);
-  BOOST_TEST(fixture.book.UsageInWindow(3).empty());
+  fixture.table.OnMember(ReportOf(5, kOtherGroup));
+  BOOST_TEST(fixture.table.Heard() == 0);
+  BOOST_TEST(!fixture.table.OnGroup(GroupOf(fixture.clock, 8, kGroup, 4)));
+  // After a change of group, the aggregators of the old group report its members
+  fixture.table.OnMember(ReportOf(5));
+  fixture.table.SetGroup(kOtherGroup);
+  BOOST_TEST(fixture.table.UsageInWindow(3).empty());
 }
 
-BOOST_AUTO_TEST_CASE(MoreGroupsThanAnywhereAreLeftOut)
+BOOST_AUTO_TEST_CASE(GroupsBeyondTheMaximumAreRejected)
 {
   VirtualClock clock;
   LoadTableSettings settings;
   settings.maximumGroups = 1;
-  LoadBook book(settings, 1, clock);
-  BOOST_TEST(book.OnGroup(GroupOf(clock, 8, 1, 1)));
-  BOOST_TEST(!book.OnGroup(GroupOf(clock, 9, 2, 1)));
+  LoadBook table(settings, 1, clock);
+  BOOST_TEST(table.OnGroup(GroupOf(clock, 8, 1, 1)));
+  BOOST_TEST(!table.OnGroup(GroupOf(clock, 9, 2, 1)));
 }
 
-BOOST_AUTO_TEST_CASE(ImplausibleDemandIsLeftOut)
+BOOST_AUTO_TEST_CASE(ImplausibleDemandIsIgnored)
 {
   Fixture fixture;
   MemberReport report = ReportOf(2);
   report.demand = { { 5, -1, 0, 0 }, { 6, 1, 0, std::nan("") }, { 7, 1, 0, 1 } };
-  fixture.book.OnMember(report);
-  BOOST_TEST(fixture.book.SumFor(9).demand.demand.size() == 1U);
+  fixture.table.OnMember(report);
+  BOOST_TEST(fixture.table.SumFor(9).demand.demand.size() == 1U);
 }
 
-/// Load pattern: a calm day on a fleet in several failure domains, speeds still being learned. Grounds: when groups told
-/// each other what they go by instead of what they learned, all stayed at the first, slow guess, and three
-/// times the endpoints needed were ordered.
-BOOST_AUTO_TEST_CASE(AGroupTellsTheMedianOfWhatItsMembersLearned)
+/// Load pattern: a calm day on a fleet in several failure domains, speeds still being measured. Guards against groups
+/// that send each other the speeds in use instead of the measured ones: all stayed at the first, slow estimate, and
+/// three times the endpoints needed were ordered.
+BOOST_AUTO_TEST_CASE(GroupReportsTheMedianOfItsMembersMeasuredSpeeds)
 {
   Fixture fixture;
   for (std::uint64_t member = 1; member <= 3; ++member) {
     MemberReport report = ReportOf(member);
     report.speeds.front().prefillSecondsPerToken = static_cast<double>(member);
-    fixture.book.OnMember(report);
+    fixture.table.OnMember(report);
   }
   GroupReport other = GroupOf(fixture.clock, 8, kOtherGroup, 4);
   other.speeds.front().prefillSecondsPerToken = 50;
-  BOOST_TEST(fixture.book.OnGroup(other));
-  const GroupReport report = fixture.book.GroupSum(false);
+  BOOST_TEST(fixture.table.OnGroup(other));
+  const GroupReport report = fixture.table.GroupSum(false);
   BOOST_REQUIRE(report.speeds.size() == 1U);
   BOOST_TEST(report.speeds.front().prefillSecondsPerToken == 2);
   BOOST_TEST(report.speeds.front().daemons == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(AWindowIsDueOnceAllGroupsHaveToldItsUsage)
+BOOST_AUTO_TEST_CASE(WindowIsReportableOnceAllGroupsHaveReportedItsUsage)
 {
   Fixture fixture;
-  fixture.book.OnMember(ReportOf(1));
-  fixture.book.OnGroup(GroupOf(fixture.clock, 8, kOtherGroup, 4));
+  fixture.table.OnMember(ReportOf(1));
+  fixture.table.OnGroup(GroupOf(fixture.clock, 8, kOtherGroup, 4));
   fixture.clock.Advance(Milliseconds(2000));
-  fixture.book.OnMember(ReportOf(1));
-  BOOST_TEST(!fixture.book.IsUsageReportable(Milliseconds(1500)));
-  // The group's sums came just now, but one of its members has not spoken since the window's end
+  fixture.table.OnMember(ReportOf(1));
+  BOOST_TEST(!fixture.table.IsUsageReportable(Milliseconds(1500)));
+  // The group's sums have just been received, but one of its members has not reported since the window's end
   GroupReport late = GroupOf(fixture.clock, 8, kOtherGroup, 4);
   late.usageAge = 1900;
-  fixture.book.OnGroup(late);
-  BOOST_TEST(!fixture.book.IsUsageReportable(Milliseconds(1500)));
-  fixture.book.OnGroup(GroupOf(fixture.clock, 8, kOtherGroup, 4));
-  BOOST_TEST(fixture.book.IsUsageReportable(Milliseconds(1500)));
+  fixture.table.OnGroup(late);
+  BOOST_TEST(!fixture.table.IsUsageReportable(Milliseconds(1500)));
+  fixture.table.OnGroup(GroupOf(fixture.clock, 8, kOtherGroup, 4));
+  BOOST_TEST(fixture.table.IsUsageReportable(Milliseconds(1500)));
 }
 
-/// Load pattern: a fleet of 300 daemons whose leader is no aggregator; reports keep step, each an interval of 424 ms after the
-/// one that it rests on. Grounds: two of six groups always took the leader's note for too old, and told it no usage,
-/// a third of each window.
-BOOST_AUTO_TEST_CASE(ALeadersNoteThatIsThreeIntervalsOldIsPassedOn)
+/// Load pattern: a fleet of 300 daemons whose leader is no aggregator; reports are synchronized, each an interval of
+/// 424 ms after the one that it depends on. Guards against aggregators that take the leader's announcement for expired:
+/// two of six groups always did and sent the leader no usage, so that a third of each window was missing.
+BOOST_AUTO_TEST_CASE(LeaderAnnouncementThreeIntervalsOldIsForwarded)
 {
   constexpr Milliseconds kInterval{ 424 };
   VirtualClock clock;
--- a/UnitTests/Daemon/MarketLeaderTests.cpp
+++ b/UnitTests/Daemon/MarketLeaderTests.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Engines that note their orders and answer as told.
+/// Engines that record the orders and return the configured result.
 struct FakeEngines final : OrderSender
 {
   Result<void> Send(const Endpoint& aEndpoint, const PlacementOrder& aOrder,
@@ -34,7 +34,7 @@
   std::optional<Error> failure;
 };
 
-/// A cloud that notes the starts and answers as told.
+/// A cloud that records the starts and returns the configured result.
 struct FakeCloud final : CloudService
 {
   Result<std::string> StartHost(const HostRequest& aRequest) override
@@ -56,7 +56,7 @@
   }
 
   std::vector<HostRequest> starts;
-  std::string fullDomain; ///< Refuses starts there.
+  std::string fullDomain; ///< Failure domain in which starts are refused.
   std::optional<Error> failure;
 };
 
@@ -75,7 +75,7 @@
   std::optional<Error> failure;
 };
 
-/// A daemon that has just begun to lead a market with three empty engines.
+/// A daemon that has just become the leader of a market with three empty engines.
 struct Fixture
 {
   VirtualClock clock;
@@ -113,7 +113,7 @@
     Pass(Seconds(2));
   }
 
-  /// Follows the lease for a while.
+  /// Advances the clock while the lease is followed.
   void Pass(Seconds aSpan)
   {
     const TimePoint end = this->clock.Now() + aSpan;
@@ -128,7 +128,7 @@
     this->leader.Step({ this->configuration, {}, this->fleet });
   }
 
-  /// Becomes the leader and waits until it acts.
+  /// Reconciles once as the leader and waits until orders may be sent.
   void Lead()
   {
     Round();
@@ -146,7 +146,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(MarketLeaderTests, Fixture)
 
-BOOST_AUTO_TEST_CASE(OrdersWhatTheManifestAsksForOnce)
+BOOST_AUTO_TEST_CASE(ManifestsLoadsAreOrderedOnce)
 {
   Lead();
   Round();
@@ -157,7 +157,7 @@
   BOOST_TEST(this->engines.sent.size() == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(AnotherDaemonsMarketIsLeftAlone)
+BOOST_AUTO_TEST_CASE(NoOrdersAfterResignation)
 {
   Lead();
   this->lease.Resign();
@@ -169,12 +169,12 @@
 
 BOOST_AUTO_TEST_CASE(DaemonThatKnowsTheFleetTakesOverSoonerThanANewOne)
 {
-  // Right after its first look at the fleet
+  // Directly after its first snapshot of the fleet
   Round();
-  Round(std::chrono::duration_cast<Seconds>(this->settings.takeoverPause));
+  Round(std::chrono::duration_cast<Seconds>(this->settings.takeoverDelay));
   BOOST_TEST(this->engines.sent.empty());
   Pass(std::chrono::duration_cast<Seconds>(this->settings.placement.settle));
-  // A second tenure of the same run
+  // A second tenure of the same daemon run
   this->lease.Abandon(this->lease.Status().fencing);
   Round(Seconds(8));
   BOOST_REQUIRE(this->lease.Status().held);
@@ -184,7 +184,7 @@
   BOOST_TEST(this->engines.sent.size() == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(ManifestOfAnotherRegionIsLeftAlone)
+BOOST_AUTO_TEST_CASE(NoOrdersForAManifestOfAnotherRegion)
 {
   this->configuration->manifest.region = "sunnmore";
   Lead();
@@ -192,7 +192,7 @@
   BOOST_TEST(this->engines.sent.empty());
 }
 
-BOOST_AUTO_TEST_CASE(StaleNumberEndsTheTenure)
+BOOST_AUTO_TEST_CASE(StaleFencingNumberEndsTheTenure)
 {
   Lead();
   this->engines.failure = Error(ErrorKind::StaleFencing, "newer");
@@ -207,7 +207,7 @@
   BOOST_TEST(this->engines.sent.back().fencing > stale);
 }
 
-BOOST_AUTO_TEST_CASE(WeightStoreIsWaitedFor)
+BOOST_AUTO_TEST_CASE(LoadsAreDelayedUntilTheWeightStoreConfirms)
 {
   Lead();
   this->weights.failure = NoAnswer();
@@ -221,7 +221,7 @@
   BOOST_TEST(this->engines.sent.size() == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(LostAnswerIsAskedForAgainAndThenAnotherEngineIsTried)
+BOOST_AUTO_TEST_CASE(UnansweredOrderIsResentUntilTheEngineCountsAsRefusing)
 {
   Lead();
   this->engines.failure = NoAnswer();
@@ -235,7 +235,7 @@
   BOOST_TEST(this->engines.sent.size() == 3 * first.size());
 }
 
-BOOST_AUTO_TEST_CASE(RefusedStartIsTriedElsewhereAndALostOneAgain)
+BOOST_AUTO_TEST_CASE(UnansweredStartIsRepeatedAndARefusedStartMovesToAnotherDomain)
 {
   this->fleet->endpoints.clear();
   Lead();
@@ -260,7 +260,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(PastTheLeaseNoHostIsStarted)
+BOOST_AUTO_TEST_CASE(NoHostIsStartedAfterTheLeaseExpired)
 {
   this->fleet->endpoints.clear();
   Lead();
--- a/UnitTests/Daemon/PermitExchangeTests.cpp
+++ b/UnitTests/Daemon/PermitExchangeTests.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::string_view kEndpoint = "endpoint";
 
-/// One daemon that sends to an endpoint with a limit.
+/// One daemon that sends requests to an endpoint with a limit.
 struct Daemon
 {
   Daemon(const Clock& aClock, int aIndex)
@@ -42,7 +42,7 @@
   PermitExchange permits;
 };
 
-/// Daemons that know of an endpoint that takes very little.
+/// Daemons that know of an endpoint with a very low limit.
 struct Fleet : LoopbackFleet<Daemon, 4>
 {
   Fleet()
@@ -57,8 +57,8 @@
 
 BOOST_FIXTURE_TEST_SUITE(PermitExchangeTests, Fleet)
 
-/// Seen: each of eight daemons sent an endpoint what it liked.
-BOOST_AUTO_TEST_CASE(AllDaemonsTogetherGetWhatOneEndpointTakes)
+/// Guards against daemons that apply an endpoint's limit each on its own: eight daemons together exceeded it.
+BOOST_AUTO_TEST_CASE(PermitsOfAllDaemonsStayWithinTheEndpointsLimit)
 {
   const auto begun = this->clock.Now();
   int granted = 0;
@@ -71,15 +71,15 @@
   BOOST_TEST(granted <= 1.5 * 0.5 * took.count() + 5);
 }
 
-BOOST_AUTO_TEST_CASE(WhoeverHearsThatALimitIsLiftedTellsAll)
+BOOST_AUTO_TEST_CASE(LiftedLimitAtOneDaemonReachesAnother)
 {
-  // Ages go in whole milliseconds
+  // Ages are sent in whole milliseconds
   std::this_thread::sleep_for(Milliseconds(20));
   this->daemons[0]->limits.OnNoneNamed(kEndpoint);
   Await([this] { return this->daemons[2]->Ask().answer == PermitAnswer::Unlimited; });
 }
 
-BOOST_AUTO_TEST_CASE(WhereThePrimaryIsGoneTheBackupAnswers)
+BOOST_AUTO_TEST_CASE(BackupAnswersAfterThePrimaryStopped)
 {
   const Keepers keepers = this->KeepersOf(HashBytes(kEndpoint));
   const std::size_t primary = LoopbackIndexOf(keepers.primary->key);
