--- a/Lagoonward/Daemon/PeerKeys.cpp
+++ b/Lagoonward/Daemon/PeerKeys.cpp
@@ -31,8 +31,7 @@
 ParsePeerKeys(const std::string& aText, const std::string& aCluster)
 {
   if (aText.empty()) {
-    kLog.Warning("No peer keys are set; any process that knows the cluster's name can authenticate "
-                 "as a daemon.");
+    kLog.Warning("No peer keys set; a process that knows the cluster's name can act as a daemon.");
   }
   return KeyRing::Parse(aText.empty() ? MakeKeyOfName(aCluster) : aText, aCluster);
 }
--- a/UnitTests/Daemon/CrashExchangeTests.cpp
+++ b/UnitTests/Daemon/CrashExchangeTests.cpp
@@ -53,10 +53,10 @@
   for (std::size_t daemon = 0; daemon < 3; ++daemon) {
     this->Crash(daemon, daemon + 1);
   }
-  const Keepers keepers = this->KeepersOf(kRequest);
-  for (const auto& keeper : { keepers.primary, keepers.backup }) {
+  const Keepers owners = this->KeepersOf(kRequest);
+  for (const auto& owner : { owners.primary, owners.backup }) {
     Await([&] {
-      return this->daemons[LoopbackIndexOf(keeper->key)]->poisonFilter.IsPoisoned(kRequest);
+      return this->daemons[LoopbackIndexOf(owner->key)]->poisonFilter.IsPoisoned(kRequest);
     });
   }
 }
@@ -64,9 +64,9 @@
 /// Owners that stop lose the reports; the daemons that observed the crashes send them again to the new owners.
 BOOST_AUTO_TEST_CASE(NewOwnersReceiveCrashesObservedEarlier)
 {
-  const Keepers keepers = this->KeepersOf(kRequest);
-  const std::size_t primary = LoopbackIndexOf(keepers.primary->key);
-  const std::size_t backup = LoopbackIndexOf(keepers.backup->key);
+  const Keepers owners = this->KeepersOf(kRequest);
+  const std::size_t primary = LoopbackIndexOf(owners.primary->key);
+  const std::size_t backup = LoopbackIndexOf(owners.backup->key);
   std::vector<std::size_t> others;
   for (std::size_t index = 0; index < kDaemons; ++index) {
     if (index != primary && index != backup) {
--- a/UnitTests/Daemon/PermitExchangeTests.cpp
+++ b/UnitTests/Daemon/PermitExchangeTests.cpp
@@ -81,10 +81,10 @@
 
 BOOST_AUTO_TEST_CASE(BackupAnswersAfterThePrimaryStopped)
 {
-  const Keepers keepers = this->KeepersOf(HashBytes(kEndpoint));
-  const std::size_t primary = LoopbackIndexOf(keepers.primary->key);
+  const Keepers owners = this->KeepersOf(HashBytes(kEndpoint));
+  const std::size_t primary = LoopbackIndexOf(owners.primary->key);
   std::size_t asker = 0;
-  while (asker == primary || asker == LoopbackIndexOf(keepers.backup->key)) {
+  while (asker == primary || asker == LoopbackIndexOf(owners.backup->key)) {
     ++asker;
   }
   this->daemons[primary]->membership.Stop();
