--- a/Lagoonward/Leadership/LeaseKeeper.cpp
+++ b/Lagoonward/Leadership/LeaseKeeper.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-/// Appends whose moment is remembered. Older ones could only give a lease that has lapsed.
-constexpr std::size_t kMaxRemembered = 64;
+/// Maximum number of appends whose send time is stored. Older ones could only result in a lease that has expired.
+constexpr std::size_t kMaxTrackedAppends = 64;
 
-/// Whether the receiver of an order of that kind can check a fencing number at all.
+/// Whether orders of that kind go to endpoints, which are the only receivers that can check fencing numbers.
 bool
-GoesToEndpoint(OrderKind aKind)
+IsEndpointOrder(OrderKind aKind)
 {
   return aKind == OrderKind::Load || aKind == OrderKind::Unload || aKind == OrderKind::Role;
 }
@@ -47,18 +47,18 @@
     this->ledger.Apply(record.offset, record.data);
   }
 
-  // What is in force, and since when it is known
+  // Update the observed lease and the time since which it is known
   const LeaseInForce* current = this->ledger.InForce();
   const Offset offset = current != nullptr ? current->offset : kNoOffset;
   const bool certain = this->ledger.IsCertain();
-  const Offset mark = certain ? offset : this->ledger.NextOffset();
-  if (!this->seenAt || mark != this->seen || certain != this->seenCertain) {
-    this->seen = mark;
-    this->seenCertain = certain;
-    this->seenAt = this->clock.BootNow();
+  const Offset observed = certain ? offset : this->ledger.NextOffset();
+  if (!this->observedAt || observed != this->observedOffset || certain != this->observedCertain) {
+    this->observedOffset = observed;
+    this->observedCertain = certain;
+    this->observedAt = this->clock.BootNow();
   }
 
-  // An own lease counts from before its append was sent
+  // A lease of this run starts before its append was sent
   this->leaseEnd.reset();
   if (current == nullptr || !this->IsOwn(current->record)) {
     return;
@@ -72,25 +72,26 @@
 bool
 LeaseKeeper::MayAcquire() const
 {
-  if (!this->seenAt || this->rank >= this->settings.candidates) {
+  if (!this->observedAt || this->rank >= this->settings.candidates) {
     return false;
   }
   const TimePoint now = this->clock.BootNow();
-  const Milliseconds turn = this->rank * this->settings.rankDelay;
+  const Milliseconds rankWait = this->rank * this->settings.rankDelay;
   const LeaseInForce* current = this->ledger.InForce();
   if (!this->ledger.IsCertain()) {
-    // Whoever led has written nothing for a whole lease
-    const Milliseconds lease = std::max(this->settings.duration, this->ledger.LongestPending());
-    return now >= *this->seenAt + lease + this->settings.handover + turn;
+    // The unknown holder must have written nothing for the duration of a lease
+    const Milliseconds lease =
+      std::max(this->settings.duration, this->ledger.LongestPendingLease());
+    return now >= *this->observedAt + lease + this->settings.handover + rankWait;
   }
   if (current == nullptr) {
-    return now >= *this->seenAt + turn;
+    return now >= *this->observedAt + rankWait;
   }
   if (this->IsOwn(current->record)) {
     return true;
   }
   const Milliseconds lease = current->record.duration;
-  return now >= *this->seenAt + lease + this->settings.handover + turn;
+  return now >= *this->observedAt + lease + this->settings.handover + rankWait;
 }
 
 std::optional<std::string>
@@ -104,21 +105,22 @@
   }
   if (this->resigning) {
     const bool leads = own && current->record.duration > Milliseconds::zero();
-    return leads ? std::optional(this->Write(Milliseconds::zero())) : std::nullopt;
+    return leads ? std::optional(this->MakeRecord(Milliseconds::zero())) : std::nullopt;
   }
 
-  // A holder renews in good time; its last append may be on its way
+  // A holder renews before its lease expires; its last append may still be in flight
   if (own && this->leaseEnd) {
     const TimePoint renewAt = *this->leaseEnd - this->settings.duration + this->settings.renewAfter;
     if (now < renewAt) {
       return std::nullopt;
     }
   }
-  return this->MayAcquire() ? std::optional(this->Write(this->settings.duration)) : std::nullopt;
+  return this->MayAcquire() ? std::optional(this->MakeRecord(this->settings.duration))
+                            : std::nullopt;
 }
 
 std::string
-LeaseKeeper::Write(Milliseconds aDuration)
+LeaseKeeper::MakeRecord(Milliseconds aDuration)
 {
   const LeaseInForce* current = this->ledger.InForce();
   LeaseRecord record;
@@ -135,7 +137,7 @@
   const TimePoint now = this->clock.BootNow();
   this->lastAppend = now;
   this->sentAt[this->sequence] = now;
-  while (this->sentAt.size() > kMaxRemembered) {
+  while (this->sentAt.size() > kMaxTrackedAppends) {
     this->sentAt.erase(this->sentAt.begin());
   }
   return WriteLeaseRecord(record);
@@ -157,17 +159,18 @@
 LeaseKeeper::Authorize(OrderKind aKind, bool aChecksFencing) const
 {
   const LeaseInForce* current = this->ledger.InForce();
-  const bool last = current != nullptr && this->IsOwn(current->record) && this->leaseEnd;
-  if (!last || this->resigning) {
-    return Error(ErrorKind::NotLeader, "This daemon does not lead here.");
+  const bool isLatestHolder = current != nullptr && this->IsOwn(current->record) && this->leaseEnd;
+  if (!isLatestHolder || this->resigning) {
+    return Error(ErrorKind::NotLeader,
+                 "This daemon does not hold the lease of this market and region.");
   }
   if (this->Holds()) {
     return OrderGrant{ current->fencing, *this->leaseEnd };
   }
-  if (aChecksFencing && GoesToEndpoint(aKind)) {
+  if (aChecksFencing && IsEndpointOrder(aKind)) {
     return OrderGrant{ current->fencing, this->clock.BootNow() + this->settings.handover };
   }
-  return Error(ErrorKind::NotLeader, "The lease has lapsed.");
+  return Error(ErrorKind::NotLeader, "The lease of this daemon has expired.");
 }
 
 std::string_view
--- a/Lagoonward/Leadership/LeaseKeeper.h
+++ b/Lagoonward/Leadership/LeaseKeeper.h
@@ -8,7 +8,7 @@
 
 namespace lagoonward {
 
-/// What a leader may be about to order.
+/// Kinds of orders that a leader issues.
 enum class OrderKind
 {
   Load,
@@ -18,46 +18,47 @@
   StopHost,
 };
 
-/// Leave to send one order.
+/// Permission to send one order.
 struct OrderGrant
 {
   Offset fencing = kNoOffset;
-  TimePoint sendBy; ///< On Clock::BootNow(); an order not sent by then needs a new grant.
+  TimePoint sendBy; ///< In terms of Clock::BootNow(); an order not sent by then needs a new grant.
 };
 
-/// Holds, renews or waits for the lease of one market and region. Does no I/O: the caller appends what
-/// NextAppend() gives, reads the stream from NextOffset() and hands each page to ObservePage(). Answers
-/// to appends are never needed, so lost ones cost nothing. Not thread-safe; docs/design/leases.md.
+/// Acquires, renews and releases the lease of one market and region. Does no I/O: the caller appends the record that
+/// NextAppend() returns, reads the stream from NextOffset() and passes each page to ObservePage(). Replies to appends
+/// are not used, so a lost reply has no effect. Not thread-safe; see docs/design/leases.md.
 class LeaseKeeper
 {
 public:
   /// @param aHolder       this daemon's id
-  /// @param aIncarnation  this run of it, see MakeIncarnation()
+  /// @param aIncarnation  id of this run of the daemon, see MakeIncarnation()
   LeaseKeeper(const LeaseSettings& aSettings, const Clock& aClock, std::string aHolder,
               std::string aIncarnation);
 
-  /// Place among the daemons of the region by rendezvous weight; zero stands first.
+  /// Sets the rank of this daemon in the region by rendezvous weight; zero is the first candidate.
   void SetRank(int aRank);
 
-  /// Folds what was read.
+  /// Applies a page that was read from the lease stream.
   void ObservePage(const LogPage& aPage);
 
-  /// The record to append now, or nothing. Each one counts from the moment of this call.
+  /// The record to append now, or nothing. The duration of its lease starts at this call.
   [[nodiscard]] std::optional<std::string> NextAppend();
 
-  /// From now on only gives the lease up. For a graceful shutdown.
+  /// From now on only releases the lease. For a graceful shutdown.
   void Resign();
 
-  /// Leave to order, asked right before each order. Within the lease: always. Past it, as when the log
-  /// is away: only orders to endpoints that check fencing numbers, until a successor is seen.
-  /// @param aChecksFencing  whether who gets the order refuses an older number
+  /// Grants permission for one order; must be called right before each order. During the lease every order is granted.
+  /// After its expiry, for example while the log is unavailable, only orders to endpoints that check fencing numbers
+  /// are granted, until the lease of a successor has been read.
+  /// @param aChecksFencing  whether the receiver of the order refuses lower fencing numbers
   /// @return the grant, or NotLeader
   [[nodiscard]] Result<OrderGrant> Authorize(OrderKind aKind, bool aChecksFencing) const;
 
-  /// Whether the lease runs, on the clock that counts suspension.
+  /// Whether the lease has not expired, by the clock that includes suspension of the host.
   [[nodiscard]] bool Holds() const;
 
-  /// Daemon that leads as far as this one has read; empty if none is known.
+  /// Daemon that holds the lease according to the records read so far; empty if none is known.
   [[nodiscard]] std::string_view Leader() const;
 
   [[nodiscard]] Offset NextOffset() const;
@@ -65,7 +66,7 @@
 private:
   [[nodiscard]] bool IsOwn(const LeaseRecord& aRecord) const;
   [[nodiscard]] bool MayAcquire() const;
-  [[nodiscard]] std::string Write(Milliseconds aDuration);
+  [[nodiscard]] std::string MakeRecord(Milliseconds aDuration);
 
   LeaseSettings settings;
   const Clock& clock;
@@ -76,12 +77,14 @@
   LeaseLedger ledger;
 
   std::uint64_t sequence = 0;
-  std::map<std::uint64_t, TimePoint> sentAt; ///< Boot time before each append of this run; bounded.
+  /// Boot time before each append of this run, by sequence; bounded.
+  std::map<std::uint64_t, TimePoint> sentAt;
   std::optional<TimePoint> lastAppend;
-  Offset seen = kNoOffset;           ///< Record in force; after a gap, the end of what was read.
-  bool seenCertain = true;           ///< Which of the two `seen` is.
-  std::optional<TimePoint> seenAt;   ///< When `seen` was read first.
-  std::optional<TimePoint> leaseEnd; ///< Of this run's lease.
+  /// Offset of the record in force; after a gap, the next offset to read.
+  Offset observedOffset = kNoOffset;
+  bool observedCertain = true; ///< Whether `observedOffset` is the offset of the record in force.
+  std::optional<TimePoint> observedAt; ///< When `observedOffset` was read first.
+  std::optional<TimePoint> leaseEnd;   ///< End of the lease of this run.
 };
 
 } // namespace lagoonward
--- a/Lagoonward/Leadership/LeaseLedger.cpp
+++ b/Lagoonward/Leadership/LeaseLedger.cpp
@@ -6,10 +6,11 @@
 
 namespace {
 
-/// Records held while nothing proves what is in force. A chain that works ends a gap with two.
+/// Maximum number of records kept while the record in force is unknown. With regular renewals two records suffice to
+/// resolve a gap.
 constexpr std::size_t kMaxPending = 1'024;
 
-/// The fencing number of a record that counts.
+/// The fencing number of a valid record.
 Offset
 FencingOf(Offset aOffset, const LeaseRecord& aRecord)
 {
@@ -46,7 +47,7 @@
   if (this->certain) {
     this->Fold(aOffset, *record);
   } else {
-    this->FoldUncertain(aOffset, *record);
+    this->FoldAfterGap(aOffset, *record);
   }
 }
 
@@ -60,7 +61,7 @@
     return;
   }
 
-  // A renewal keeps the number of its own run's tenure, and only that
+  // A renewal may keep only the fencing number of the tenure of its own run
   if (aRecord.tenure != kNoOffset) {
     const bool own = this->inForce && this->inForce->fencing == aRecord.tenure &&
                      this->inForce->record.writer.incarnation == aRecord.writer.incarnation;
@@ -72,35 +73,35 @@
 }
 
 void
-LeaseLedger::FoldUncertain(Offset aOffset, const LeaseRecord& aRecord)
+LeaseLedger::FoldAfterGap(Offset aOffset, const LeaseRecord& aRecord)
 {
   this->pending.push_back({ aOffset, aRecord });
   if (this->pending.size() > kMaxPending) {
     this->pending.pop_front();
   }
 
-  // Whatever was in force stood before `vacant_before`, and all from there on has been read
+  // The unknown record in force precedes `vacant_before`, and all records from that offset on have been read
   const bool vacant = aRecord.vacantBefore >= this->gapEnd && aRecord.tenure == kNoOffset;
   const bool first =
     std::none_of(this->pending.begin(), this->pending.end() - 1,
                  [&](const Pending& aPending) { return aPending.offset >= aRecord.vacantBefore; });
   if (vacant && first) {
-    this->ResumeAt(this->pending.size() - 1);
+    this->ResolveGap(this->pending.size() - 1);
     return;
   }
 
-  // Its base was in force
+  // A base was in force when its successor was written
   const auto base =
     std::find_if(this->pending.begin(), this->pending.end(), [&](const Pending& aPending) {
       return aRecord.vacantBefore == kNoOffset && aPending.offset == aRecord.base;
     });
   if (base != this->pending.end()) {
-    this->ResumeAt(static_cast<std::size_t>(base - this->pending.begin()));
+    this->ResolveGap(static_cast<std::size_t>(base - this->pending.begin()));
   }
 }
 
 void
-LeaseLedger::ResumeAt(std::size_t aIndex)
+LeaseLedger::ResolveGap(std::size_t aIndex)
 {
   const Pending& first = this->pending[aIndex];
   this->inForce = LeaseInForce{ first.offset, FencingOf(first.offset, first.record), first.record };
@@ -124,7 +125,7 @@
 }
 
 Milliseconds
-LeaseLedger::LongestPending() const
+LeaseLedger::LongestPendingLease() const
 {
   Milliseconds longest{ 0 };
   for (const Pending& record : this->pending) {
--- a/Lagoonward/Leadership/LeaseRecord.h
+++ b/Lagoonward/Leadership/LeaseRecord.h
@@ -11,23 +11,23 @@
 /// `{"base":OFFSET,"tenure":OFFSET,"vacant_before":OFFSET,"holder":…,"duration_ms":…,"writer":{…}}`.
 struct LeaseRecord
 {
-  Offset base = kNoOffset;   ///< Record that its writer saw in force; -1 for none.
-  Offset tenure = kNoOffset; ///< A renewal: the fencing number it keeps. -1 for a new tenure.
+  Offset base = kNoOffset; ///< Offset of the record that was in force for the writer; -1 for none.
+  Offset tenure = kNoOffset; ///< Fencing number that a renewal keeps; -1 for a new tenure.
 
-  /// Instead of a base: takes over from whatever was in force before this offset, and counts only if
-  /// nothing counted since. For readers that no kept record tells what is in force.
+  /// Used instead of a base by readers that cannot derive the record in force from the retained records. Replaces the
+  /// record in force before this offset, and is valid only if no record from this offset on has been valid.
   Offset vacantBefore = kNoOffset;
 
-  std::string holder;         ///< Daemon that leads.
-  Milliseconds duration{ 0 }; ///< Zero gives the lease up.
-  RecordId writer;            ///< The holder's run; another run of it is another holder.
+  std::string holder;         ///< Daemon that holds the lease.
+  Milliseconds duration{ 0 }; ///< Zero releases the lease.
+  RecordId writer; ///< Run of the holder; another run of the same daemon is another holder.
 };
 
-/// @return the record, or nothing if there was a fault
+/// @return the record, or nothing if the text is invalid
 [[nodiscard]] std::optional<LeaseRecord>
 ReadLeaseRecord(std::string_view aText, JsonFaults& aFaults);
 
-/// The text that ReadLeaseRecord() reads.
+/// Serializes a record for ReadLeaseRecord().
 [[nodiscard]] std::string
 WriteLeaseRecord(const LeaseRecord& aRecord);
 
--- a/Lagoonward/Leadership/LeaseSettings.h
+++ b/Lagoonward/Leadership/LeaseSettings.h
@@ -4,28 +4,27 @@
 
 namespace lagoonward {
 
-/// Tunables of leadership per market and region. With these defaults one market and region costs one
-/// append every three seconds, and a dead holder is succeeded within about fifteen.
+/// Tunables of leadership per market and region. With these defaults the lease of one market and region costs one
+/// append every three seconds, and a crashed holder is replaced within about fifteen seconds.
 struct LeaseSettings
 {
-  /// How long a lease runs, counted by its holder from before the append, by others from reading it.
+  /// Duration of a lease. Starts before the append for the holder, and at reading the record for other daemons.
   Milliseconds duration{ 10'000 };
 
-  /// A holder renews after this much of its lease.
+  /// Time after the start of its lease at which the holder renews it.
   Milliseconds renewAfter{ 3'000 };
 
-  /// A successor waits this much longer than the lease. An order to an endpoint that does not check
-  /// fencing numbers must arrive within it after the holder looked at its lease; the timeout of such
-  /// orders stays below.
+  /// Additional time that a successor waits after the lease. An order to an endpoint that does not check fencing
+  /// numbers must arrive within this time after the holder checked its lease, so the timeout of such orders is shorter.
   Milliseconds handover{ 3'000 };
 
-  /// Pause between two appends that were not seen in the log.
+  /// Minimum interval between two appends while the first has not been read back from the log.
   Milliseconds retryInterval{ 1'000 };
 
-  /// Each further candidate waits this much longer, so that a lapsed lease does not make all append.
+  /// Additional wait per rank of a candidate, so that not all candidates append when a lease has expired.
   Milliseconds rankDelay{ 1'000 };
 
-  /// Daemons by rendezvous rank that stand for election. The others only read.
+  /// Number of daemons, by rendezvous rank, that may acquire the lease. The others only read.
   int candidates = 4;
 };
 
--- a/UnitTests/Leadership/LeaseKeeperTests.cpp
+++ b/UnitTests/Leadership/LeaseKeeperTests.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// A lease stream in memory and two daemons that may lead.
+/// An in-memory lease stream and two candidate daemons.
 struct Fixture
 {
   VirtualClock clock;
@@ -25,7 +25,7 @@
 
   void Read(LeaseKeeper& aKeeper) const { aKeeper.ObservePage(this->log); }
 
-  /// Reads, appends if it is time, reads again.
+  /// Reads the log; appends a record if one is due, and reads again.
   void Step(LeaseKeeper& aKeeper)
   {
     Read(aKeeper);
@@ -35,15 +35,15 @@
     }
   }
 
-  /// Forgets the records below an offset.
-  void Drop(Offset aStart)
+  /// Removes the records below an offset from the log.
+  void Truncate(Offset aStart)
   {
     this->log.start = aStart;
     std::erase_if(this->log.records,
                   [&](const LogRecord& aRecord) { return aRecord.offset < aStart; });
   }
 
-  [[nodiscard]] static bool May(const LeaseKeeper& aKeeper, OrderKind aKind, bool aChecks)
+  [[nodiscard]] static bool IsAuthorized(const LeaseKeeper& aKeeper, OrderKind aKind, bool aChecks)
   {
     return aKeeper.Authorize(aKind, aChecks).has_value();
   }
@@ -53,7 +53,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(LeaseKeeperTests, Fixture)
 
-BOOST_AUTO_TEST_CASE(OneLeadsAndKeepsItsNumberOverRenewals)
+BOOST_AUTO_TEST_CASE(HolderKeepsItsFencingNumberOverRenewals)
 {
   Step(this->first);
   Step(this->second);
@@ -70,7 +70,7 @@
   BOOST_TEST(this->second.Leader() == "first");
 }
 
-BOOST_AUTO_TEST_CASE(LostAnswerIsSettledByReading)
+BOOST_AUTO_TEST_CASE(LeaseIsHeldOnceItsRecordIsReadDespiteALostReply)
 {
   Read(this->first);
   const auto record = this->first.NextAppend();
@@ -80,28 +80,28 @@
   this->clock.Advance(Seconds(4));
   Read(this->first);
   BOOST_TEST(this->first.Holds());
-  // Counted from the append, not from reading it
+  // The lease starts at the append, not at reading it
   this->clock.Advance(Seconds(6));
   BOOST_TEST(!this->first.Holds());
 }
 
-BOOST_AUTO_TEST_CASE(PausedHolderWakesAndDoesNotOrder)
+BOOST_AUTO_TEST_CASE(HolderSuspendedPastItsLeaseIsGrantedNoUnfencedOrders)
 {
   Step(this->first);
   Step(this->second);
   this->clock.Suspend(Seconds(20));
-  BOOST_TEST(!May(this->first, OrderKind::StartHost, true));
-  BOOST_TEST(!May(this->first, OrderKind::Load, false));
+  BOOST_TEST(!IsAuthorized(this->first, OrderKind::StartHost, true));
+  BOOST_TEST(!IsAuthorized(this->first, OrderKind::Load, false));
   Step(this->second);
   BOOST_TEST(this->second.Holds());
-  // Engines that check are safe: the old holder's number is lower
+  // Endpoints that check fencing numbers refuse the former holder, as its number is lower
   const Offset stale = this->first.Authorize(OrderKind::Load, true).value().fencing;
   BOOST_TEST(stale < this->second.Authorize(OrderKind::Load, true).value().fencing);
   Read(this->first);
-  BOOST_TEST(!May(this->first, OrderKind::Load, true));
+  BOOST_TEST(!IsAuthorized(this->first, OrderKind::Load, true));
 }
 
-BOOST_AUTO_TEST_CASE(SuccessorWaitsForLeaseHandoverAndTurn)
+BOOST_AUTO_TEST_CASE(SuccessorWaitsForLeaseHandoverAndRankDelay)
 {
   Step(this->first);
   Step(this->second);
@@ -113,7 +113,7 @@
   BOOST_TEST(this->second.Holds());
 }
 
-BOOST_AUTO_TEST_CASE(LateRenewalBelowASuccessorIsVoid)
+BOOST_AUTO_TEST_CASE(RenewalAppendedAfterASuccessorIsIgnored)
 {
   Step(this->first);
   Step(this->second);
@@ -127,10 +127,10 @@
   Read(this->first);
   Read(this->second);
   BOOST_TEST(this->second.Holds());
-  BOOST_TEST(!May(this->first, OrderKind::Load, true));
+  BOOST_TEST(!IsAuthorized(this->first, OrderKind::Load, true));
 }
 
-BOOST_AUTO_TEST_CASE(ResignedLeaseIsTakenAfterTheHandover)
+BOOST_AUTO_TEST_CASE(ReleasedLeaseIsAcquiredAfterTheHandover)
 {
   Step(this->first);
   this->first.Resign();
@@ -143,7 +143,7 @@
   BOOST_TEST(this->second.Holds());
 }
 
-BOOST_AUTO_TEST_CASE(RestartedDaemonIsAnotherHolder)
+BOOST_AUTO_TEST_CASE(RestartedDaemonDoesNotHoldTheLeaseOfItsFormerRun)
 {
   Step(this->first);
   LeaseKeeper again(this->settings, this->clock, "first", "run-3");
@@ -152,16 +152,16 @@
   BOOST_TEST(!again.NextAppend().has_value());
 }
 
-BOOST_AUTO_TEST_CASE(NewReaderAfterAGapWaitsForProof)
+BOOST_AUTO_TEST_CASE(ReaderAfterAGapKnowsNoLeaderUntilTheNextRenewal)
 {
   for (int step = 0; step < 20; ++step) {
     Step(this->first);
     this->clock.Advance(Seconds(1));
   }
-  Drop(3);
+  Truncate(3);
   Read(this->second);
   BOOST_TEST(this->second.Leader() == "first");
-  Drop(this->log.end - 1);
+  Truncate(this->log.end - 1);
   LeaseKeeper late(this->settings, this->clock, "late", "run-4");
   Read(late);
   BOOST_TEST(late.Leader().empty());
@@ -172,12 +172,12 @@
   BOOST_TEST(late.Leader() == "first");
 }
 
-BOOST_AUTO_TEST_CASE(AFleetOfNewReadersFindsALeader)
+BOOST_AUTO_TEST_CASE(NewReadersAfterAGapElectALeader)
 {
   Step(this->first);
   Step(this->first);
   Append("not a record");
-  Drop(1);
+  Truncate(1);
   LeaseKeeper late(this->settings, this->clock, "late", "run-4");
   Step(late);
   this->clock.Advance(this->settings.duration + this->settings.handover);
@@ -187,11 +187,12 @@
   BOOST_TEST(this->second.Leader() == "late");
 }
 
-// Found by the stateful fuzzer: the second reader counted its wait from before the first one's record.
-BOOST_AUTO_TEST_CASE(ReadersAfterAGapFollowTheFirstOfThemForAWholeLease)
+// Guards against two holders: a second reader measured its wait from a time before the record of the first one and so
+// acquired the lease too early. Found by the stateful fuzzer.
+BOOST_AUTO_TEST_CASE(SecondReaderAfterAGapDoesNotAcquireWhileTheFirstRenews)
 {
   Step(this->first);
-  Drop(1);
+  Truncate(1);
   LeaseKeeper one(this->settings, this->clock, "one", "run-4");
   LeaseKeeper two(this->settings, this->clock, "two", "run-5");
   two.SetRank(1);
