--- a/Lagoonward/Metering/UsageBook.cpp
+++ b/Lagoonward/Metering/UsageBook.cpp
@@ -14,12 +14,12 @@
 UsageBook::OnCounts(std::uint64_t aRun, const UsageByWindow& aCounts, Milliseconds aAge)
 {
   Run& run = this->runs[aRun];
-  run.heard = std::max(run.heard, this->clock.Now() - aAge);
+  run.lastReceived = std::max(run.lastReceived, this->clock.Now() - aAge);
   for (const auto& [window, counts] : aCounts) {
-    UsageCounts& known = run.windows[window];
+    UsageCounts& recorded = run.windows[window];
     for (const auto& [account, count] : counts) {
-      std::int64_t& most = known[account];
-      most = std::max(most, count);
+      std::int64_t& maximum = recorded[account];
+      maximum = std::max(maximum, count);
     }
   }
 }
@@ -60,7 +60,7 @@
 {
   Milliseconds oldest{ 0 };
   for (const auto& [key, run] : this->runs) {
-    const auto age = std::chrono::floor<Milliseconds>(this->clock.Now() - run.heard);
+    const auto age = std::chrono::floor<Milliseconds>(this->clock.Now() - run.lastReceived);
     oldest = age <= this->settings.silence ? std::max(oldest, age) : oldest;
   }
   return oldest;
@@ -75,12 +75,12 @@
   if (aSinceEnd >= this->settings.patience) {
     return true;
   }
-  // Everyone who lives has spoken since its end
+  // Due earlier if every live daemon has sent its counts since the end of the window
   const TimePoint now = this->clock.Now();
   const TimePoint settled = now - aSinceEnd + this->settings.settle / 2;
   return std::all_of(this->runs.begin(), this->runs.end(), [&](const auto& aRun) {
-    const TimePoint heard = aRun.second.heard;
-    return heard >= settled || now - heard > this->settings.silence;
+    const TimePoint lastReceived = aRun.second.lastReceived;
+    return lastReceived >= settled || now - lastReceived > this->settings.silence;
   });
 }
 
@@ -92,7 +92,7 @@
   }
   std::erase_if(this->runs, [&](const auto& aRun) {
     return aRun.second.windows.empty() &&
-           this->clock.Now() - aRun.second.heard > this->settings.oldest;
+           this->clock.Now() - aRun.second.lastReceived > this->settings.oldest;
   });
 }
 
--- a/Lagoonward/Metering/UsageBook.h
+++ b/Lagoonward/Metering/UsageBook.h
@@ -9,55 +9,55 @@
 
 namespace lagoonward {
 
-/// Tunables of reporting usage.
+/// Tunables of usage reporting.
 struct UsageBookSettings
 {
-  /// A window is not reported sooner after its end: its last counts are on their way for one interval of
-  /// the daemons' messages and a little more.
+  /// Minimum time between the end of a window and its report. The last counts need one interval of the messages between
+  /// daemons and a little more to arrive.
   Milliseconds settle{ 1200 };
 
-  /// After this a window is reported even if some daemon has not told its counts since the window's end.
+  /// Time after the end of a window at which it is reported even if some daemon has not sent its counts since that end.
   Milliseconds patience{ 5000 };
 
-  /// A daemon that has been silent this long has gone: what it told last counts.
+  /// A daemon that has sent nothing for this long is taken to have terminated; its last counts are used.
   Milliseconds silence{ 3000 };
 
-  /// Windows that ended longer ago are not reported any more.
+  /// Windows that ended longer ago are no longer reported.
   Milliseconds oldest = kUsageReportable;
 };
 
-/// Collects the daemons' counts and says which window can be reported. Counts are cumulative per window
-/// and run of a daemon, so messages may be lost or repeated. Not thread-safe.
+/// Sums the usage counts of all daemons and decides when a window can be reported. Counts are cumulative per window and
+/// run of a daemon, so messages may be lost, repeated or reordered. Not thread-safe.
 class UsageBook
 {
 public:
   UsageBook(const UsageBookSettings& aSettings, const Clock& aClock);
 
-  /// A daemon has told its counts.
-  /// @param aRun  names the daemon and this run of it: a restarted one counts anew
-  /// @param aAge  how old they are, where they came through others
+  /// Records the counts of a daemon.
+  /// @param aRun  identifies the daemon and its run, as a restarted daemon counts from zero
+  /// @param aAge  age of the counts if they were forwarded by other daemons
   void OnCounts(std::uint64_t aRun, const UsageByWindow& aCounts,
                 Milliseconds aAge = Milliseconds(0));
 
-  /// The sums over all daemons, of all windows that are known.
+  /// The sums over all daemons for all known windows.
   [[nodiscard]] UsageByWindow Totals() const;
 
-  /// Age of what the daemon told that has been silent longest and still counts as living.
+  /// Age of the newest counts of the least recently received daemon, among those within the silence timeout.
   [[nodiscard]] Milliseconds Age() const;
 
-  /// The sum over all daemons.
+  /// The sum over all daemons for one window.
   [[nodiscard]] UsageCounts TotalOf(std::int64_t aWindow) const;
 
-  /// Whether a window that ended so long ago can be reported now.
+  /// Whether a window that ended that long ago can be reported now.
   [[nodiscard]] bool IsDue(Milliseconds aSinceEnd) const;
 
-  /// Forgets windows before that one.
+  /// Evicts the windows before the given one, and runs without windows past the reporting period.
   void Forget(std::int64_t aBefore);
 
 private:
   struct Run
   {
-    TimePoint heard;
+    TimePoint lastReceived;
     UsageByWindow windows;
   };
 
--- a/Lagoonward/Metering/UsageCounter.cpp
+++ b/Lagoonward/Metering/UsageCounter.cpp
@@ -2,7 +2,7 @@
 
 namespace lagoonward {
 
-SteadyCalendar::SteadyCalendar(const Clock& aClock)
+MonotonicWallClock::MonotonicWallClock(const Clock& aClock)
   : clock(aClock)
   , anchorWall(aClock.WallNow())
   , anchorBoot(aClock.BootNow())
@@ -10,15 +10,15 @@
 }
 
 WallTime
-SteadyCalendar::Now() const
+MonotonicWallClock::Now() const
 {
-  const auto passed = this->clock.BootNow() - this->anchorBoot;
-  return this->anchorWall + std::chrono::duration_cast<WallTime::duration>(passed);
+  const auto elapsed = this->clock.BootNow() - this->anchorBoot;
+  return this->anchorWall + std::chrono::duration_cast<WallTime::duration>(elapsed);
 }
 
 UsageCounter::UsageCounter(Seconds aWindow, const Clock& aClock)
   : window(aWindow)
-  , calendar(aClock)
+  , wallClock(aClock)
 {
 }
 
@@ -55,20 +55,20 @@
 std::int64_t
 UsageCounter::OldestReportable() const
 {
-  return this->WindowAt(this->calendar.Now() - kUsageReportable);
+  return this->WindowAt(this->wallClock.Now() - kUsageReportable);
 }
 
 std::int64_t
 UsageCounter::CurrentWindow() const
 {
-  return this->WindowAt(this->calendar.Now());
+  return this->WindowAt(this->wallClock.Now());
 }
 
 Milliseconds
 UsageCounter::SinceEndOf(std::int64_t aWindow) const
 {
   const std::int64_t length = std::chrono::duration_cast<Milliseconds>(this->window).count();
-  return Milliseconds(ToUnixMilliseconds(this->calendar.Now()) - (aWindow + 1) * length);
+  return Milliseconds(ToUnixMilliseconds(this->wallClock.Now()) - (aWindow + 1) * length);
 }
 
 } // namespace lagoonward
--- a/Lagoonward/Metering/UsageCounter.h
+++ b/Lagoonward/Metering/UsageCounter.h
@@ -10,22 +10,22 @@
 
 namespace lagoonward {
 
-/// Requests that began to run, by client account.
+/// Number of requests that have started to run, by client account.
 using UsageCounts = std::map<std::string, std::int64_t, std::less<>>;
 
-/// Usage by window; window k begins k window lengths after the start of 1970.
+/// Usage by window; window k starts k window lengths after the start of 1970.
 using UsageByWindow = std::map<std::int64_t, UsageCounts>;
 
-/// For so long after its end a window may be reported. What has been reported stands in a log that keeps its records for
-/// 20 s: later nobody can be sure that a window is not reported a second time.
+/// Time after its end within which a window may be reported. Reports are recorded in a log that retains its records for
+/// 20 s: later it cannot be ruled out that a window is reported a second time.
 inline constexpr Milliseconds kUsageReportable{ 18'000 };
 
-/// Tells calendar time without following jumps of the host's clock: anchored once, then moved on by the
-/// clock that counts suspension. A daemon's usage then falls into the windows of the others.
-class SteadyCalendar
+/// Wall-clock time that is unaffected by jumps of the host's clock: read once at construction, then advanced by the
+/// clock that includes suspension. This keeps the windows of a daemon aligned with those of other daemons.
+class MonotonicWallClock
 {
 public:
-  explicit SteadyCalendar(const Clock& aClock);
+  explicit MonotonicWallClock(const Clock& aClock);
 
   [[nodiscard]] WallTime Now() const;
 
@@ -35,32 +35,32 @@
   TimePoint anchorBoot;
 };
 
-/// Counts what this daemon's requests use, for the windows that may still be reported. Thread-safe.
+/// Counts the requests of this daemon by account, for the windows that may still be reported. Thread-safe.
 class UsageCounter
 {
 public:
   UsageCounter(Seconds aWindow, const Clock& aClock);
 
-  /// A request of an account has begun to run.
+  /// Counts a request of an account that has started to run.
   void OnBegan(std::string_view aAccount);
 
-  /// Counts so far of the windows that are still kept, the current one included.
+  /// Counts of the retained windows, including the current one.
   [[nodiscard]] UsageByWindow Read() const;
 
   /// The oldest window that may still be reported.
   [[nodiscard]] std::int64_t OldestReportable() const;
 
-  /// The window that runs now.
+  /// The window of the current time.
   [[nodiscard]] std::int64_t CurrentWindow() const;
 
-  /// Time since the end of a window; negative before.
+  /// Time since the end of a window; negative before its end.
   [[nodiscard]] Milliseconds SinceEndOf(std::int64_t aWindow) const;
 
 private:
   [[nodiscard]] std::int64_t WindowAt(WallTime aTime) const;
 
   Seconds window;
-  SteadyCalendar calendar;
+  MonotonicWallClock wallClock;
   mutable std::mutex mutex; ///< Guards `windows`.
   UsageByWindow windows;
 };
--- a/Lagoonward/Metering/UsageRecord.h
+++ b/Lagoonward/Metering/UsageRecord.h
@@ -10,7 +10,7 @@
 
 namespace lagoonward {
 
-/// What is to be reported of one window, as written down in the log before it is reported:
+/// Usage of one window. Appended to the log before the window is reported:
 /// `{"window":K,"counts":{ACCOUNT:N,...}}`.
 struct UsageRecord
 {
@@ -24,26 +24,26 @@
 [[nodiscard]] std::string
 WriteUsageRecord(const UsageRecord& aRecord);
 
-/// Folds the log of usage records. Only the first record of a window counts, whoever wrote it and
-/// however late it arrived, so that no two reports of one window differ.
+/// Folds the log of usage records. Only the first record of a window is valid, independent of its writer and its time
+/// of arrival, so that all reports of a window are equal. Not thread-safe.
 class UsageLedger
 {
 public:
-  /// Folds one record; those read before are ignored.
+  /// Folds one record. Malformed records and those already read are ignored.
   void Apply(Offset aOffset, std::string_view aData);
 
-  /// Records from that offset on have been read.
+  /// First offset not yet read.
   [[nodiscard]] Offset NextOffset() const { return this->next; }
 
-  /// Skips records that the log no longer keeps.
+  /// Skips records that the log no longer retains.
   void SkipTo(Offset aOffset);
 
-  /// What counts for a window, or nullptr.
+  /// The valid record of a window, or nullptr.
   [[nodiscard]] const UsageRecord* Find(std::int64_t aWindow) const;
 
   [[nodiscard]] const std::map<std::int64_t, UsageRecord>& Records() const { return this->records; }
 
-  /// Forgets windows before that one.
+  /// Evicts the windows before the given one.
   void Forget(std::int64_t aBefore);
 
 private:
--- a/UnitTests/Metering/UsageTests.cpp
+++ b/UnitTests/Metering/UsageTests.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// A clock whose calendar jumps, as when somebody sets the host's time.
+/// A clock whose wall time can jump, as when the host's time is set.
 class JumpingClock final : public Clock
 {
 public:
@@ -24,7 +24,7 @@
 
 BOOST_AUTO_TEST_SUITE(UsageTests)
 
-BOOST_AUTO_TEST_CASE(CountsInTheWindowThatRunsAlsoWhenTheCalendarJumps)
+BOOST_AUTO_TEST_CASE(WallClockJumpsDoNotChangeTheCurrentWindow)
 {
   JumpingClock clock;
   UsageCounter counter(Seconds(5), clock);
@@ -38,7 +38,7 @@
   BOOST_TEST(counter.CurrentWindow() == first + 1);
 }
 
-BOOST_AUTO_TEST_CASE(ForgetsOldWindows)
+BOOST_AUTO_TEST_CASE(OldWindowsAreEvicted)
 {
   VirtualClock clock;
   UsageCounter counter(Seconds(5), clock);
@@ -49,42 +49,42 @@
   BOOST_TEST(!counter.Read().contains(first));
 }
 
-BOOST_AUTO_TEST_CASE(SumsRunsAndTakesRepeatedMessagesOnce)
+BOOST_AUTO_TEST_CASE(SumsRunsAndIgnoresRepeatedAndLateMessages)
 {
   VirtualClock clock;
-  UsageBook book({}, clock);
-  book.OnCounts(1, { { 7, { { "a", 3 } } } });
-  book.OnCounts(1, { { 7, { { "a", 5 } } } });
-  // An older message that arrives late takes nothing back
-  book.OnCounts(1, { { 7, { { "a", 4 } } } });
-  book.OnCounts(2, { { 7, { { "a", 1 }, { "b", 2 } } } });
-  const UsageCounts total = book.TotalOf(7);
+  UsageBook accumulator({}, clock);
+  accumulator.OnCounts(1, { { 7, { { "a", 3 } } } });
+  accumulator.OnCounts(1, { { 7, { { "a", 5 } } } });
+  // An older message that arrives late does not reduce the count
+  accumulator.OnCounts(1, { { 7, { { "a", 4 } } } });
+  accumulator.OnCounts(2, { { 7, { { "a", 1 }, { "b", 2 } } } });
+  const UsageCounts total = accumulator.TotalOf(7);
   BOOST_TEST(total.at("a") == 6);
   BOOST_TEST(total.at("b") == 2);
-  BOOST_TEST(book.TotalOf(8).empty());
+  BOOST_TEST(accumulator.TotalOf(8).empty());
 }
 
-BOOST_AUTO_TEST_CASE(WaitsForAllThatLive)
+BOOST_AUTO_TEST_CASE(WindowIsDueOnceAllLiveDaemonsHaveReported)
 {
   VirtualClock clock;
-  UsageBook book({}, clock);
-  book.OnCounts(1, {});
-  book.OnCounts(2, {});
+  UsageBook accumulator({}, clock);
+  accumulator.OnCounts(1, {});
+  accumulator.OnCounts(2, {});
   clock.Advance(Milliseconds(2000));
-  book.OnCounts(1, {});
-  // The window ended 1.5 s ago; the second daemon has not spoken since
-  BOOST_TEST(!book.IsDue(Milliseconds(1500)));
-  book.OnCounts(2, {});
-  BOOST_TEST(book.IsDue(Milliseconds(1500)));
-  BOOST_TEST(!book.IsDue(Milliseconds(500)));
-  // One that has died holds nobody up for long
+  accumulator.OnCounts(1, {});
+  // The window ended 1.5 s ago; the second daemon has sent nothing since
+  BOOST_TEST(!accumulator.IsDue(Milliseconds(1500)));
+  accumulator.OnCounts(2, {});
+  BOOST_TEST(accumulator.IsDue(Milliseconds(1500)));
+  BOOST_TEST(!accumulator.IsDue(Milliseconds(500)));
+  // A terminated daemon delays the report only up to the silence timeout
   clock.Advance(Milliseconds(4000));
-  book.OnCounts(1, {});
-  BOOST_TEST(book.IsDue(Milliseconds(1500)));
-  BOOST_TEST(!book.IsDue(Seconds(60)));
+  accumulator.OnCounts(1, {});
+  BOOST_TEST(accumulator.IsDue(Milliseconds(1500)));
+  BOOST_TEST(!accumulator.IsDue(Seconds(60)));
 }
 
-BOOST_AUTO_TEST_CASE(OnlyTheFirstRecordOfAWindowCounts)
+BOOST_AUTO_TEST_CASE(OnlyTheFirstRecordOfAWindowIsValid)
 {
   UsageLedger ledger;
   ledger.Apply(0, WriteUsageRecord({ 7, { { "a", 3 } } }));
@@ -92,7 +92,7 @@
   ledger.Apply(2, WriteUsageRecord({ 7, { { "a", 9 } } }));
   BOOST_TEST(ledger.Find(7)->counts.at("a") == 3);
   BOOST_TEST(ledger.NextOffset() == 3);
-  // Read again, as after a lost answer
+  // A record that is read again, as after a lost reply, is ignored
   ledger.Apply(0, WriteUsageRecord({ 8, { { "a", 1 } } }));
   BOOST_TEST(ledger.Find(8) == nullptr);
   ledger.Forget(8);
