--- a/UnitTests/Relay/RelayServiceTests.cpp
+++ b/UnitTests/Relay/RelayServiceTests.cpp
@@ -658,8 +658,8 @@
   BOOST_TEST(relay.observer.moved == 1);
 }
 
-// Guards against requests that reach an endpoint later than allowed after it announced that it leaves. A daemon did not
-// recheck its choice after opening the connection, which took 1.3 s on a busy host.
+// Guards against requests that reach an endpoint later than allowed after it announced that it leaves. The daemon did
+// not recheck its choice once the connection was open; on a busy host a request arrived 1.3 s after the choice.
 BOOST_AUTO_TEST_CASE(RequestIsNotSentToAnEndpointThatLeavesAfterItsSelection)
 {
   const ScriptedServer left([](const std::string&) { return Send(MakeResponse("left")); });
