--- a/Lagoonward/Routing/CircuitBreaker.cpp
+++ b/Lagoonward/Routing/CircuitBreaker.cpp
@@ -14,36 +14,36 @@
 bool
 CircuitBreaker::Allows(const CircuitBreakerSettings& aSettings, TimePoint aNow) const
 {
-  return this->failures < aSettings.failuresToOpen || aNow >= this->openUntil;
+  return this->consecutiveFailures < aSettings.failuresToOpen || aNow >= this->openUntil;
 }
 
 void
 CircuitBreaker::OnDispatched(const CircuitBreakerSettings& aSettings, TimePoint aNow)
 {
-  if (this->failures >= aSettings.failuresToOpen) {
-    this->openUntil = aNow + this->Pause(aSettings);
+  if (this->consecutiveFailures >= aSettings.failuresToOpen) {
+    this->openUntil = aNow + this->OpenDuration(aSettings);
   }
 }
 
 void
 CircuitBreaker::OnSuccess()
 {
-  this->failures = 0;
+  this->consecutiveFailures = 0;
 }
 
 void
 CircuitBreaker::OnFailure(const CircuitBreakerSettings& aSettings, TimePoint aNow)
 {
-  ++this->failures;
-  if (this->failures >= aSettings.failuresToOpen) {
-    this->openUntil = aNow + this->Pause(aSettings);
+  ++this->consecutiveFailures;
+  if (this->consecutiveFailures >= aSettings.failuresToOpen) {
+    this->openUntil = aNow + this->OpenDuration(aSettings);
   }
 }
 
 Milliseconds
-CircuitBreaker::Pause(const CircuitBreakerSettings& aSettings) const
+CircuitBreaker::OpenDuration(const CircuitBreakerSettings& aSettings) const
 {
-  const int doublings = std::min(this->failures - aSettings.failuresToOpen, kMaxDoublings);
+  const int doublings = std::min(this->consecutiveFailures - aSettings.failuresToOpen, kMaxDoublings);
   return std::min<Milliseconds>(aSettings.openFor * (1LL << doublings), aSettings.maxOpenFor);
 }
 
--- a/Lagoonward/Routing/CircuitBreaker.h
+++ b/Lagoonward/Routing/CircuitBreaker.h
@@ -21,9 +21,9 @@
   void OnFailure(const CircuitBreakerSettings& aSettings, TimePoint aNow);
 
 private:
-  [[nodiscard]] Milliseconds Pause(const CircuitBreakerSettings& aSettings) const;
+  [[nodiscard]] Milliseconds OpenDuration(const CircuitBreakerSettings& aSettings) const;
 
-  int failures = 0;    ///< In a row.
+  int consecutiveFailures = 0;    ///< In a row.
   TimePoint openUntil; ///< No request before, once `failures` has reached the limit.
 };
 
--- a/Lagoonward/Routing/EndpointActivity.cpp
+++ b/Lagoonward/Routing/EndpointActivity.cpp
@@ -7,32 +7,32 @@
 namespace {
 
 /// Weight of the newest plain call: the last twenty or so count.
-constexpr double kCallWeight = 0.05;
+constexpr double kCallAverageWeight = 0.05;
 
 /// Bounds how much an endpoint that fails all calls is avoided, so that its recovery shows.
-constexpr double kLeastWhole = 0.2;
+constexpr double kMinSuccessRate = 0.2;
 
 } // namespace
 
 void
-EndpointActivity::Recent::Add(TimePoint aTime)
+EndpointActivity::RecentEvents::Add(TimePoint aTime)
 {
   this->times[this->next] = aTime;
-  this->next = (this->next + 1) % kRecent;
+  this->next = (this->next + 1) % kRecentEvents;
 }
 
 int
-EndpointActivity::Recent::CountSince(TimePoint aSince) const
+EndpointActivity::RecentEvents::CountSince(TimePoint aSince) const
 {
   // Times only grow, so the first that the report covers, going back, is found by halving
-  std::size_t later = 0;
-  std::size_t covered = kRecent + 1;
-  while (later + 1 < covered) {
-    const std::size_t middle = (later + covered) / 2;
-    const TimePoint time = this->times[(this->next + kRecent - middle) % kRecent];
-    (time > aSince ? later : covered) = middle;
+  std::size_t newer = 0;
+  std::size_t covered = kRecentEvents + 1;
+  while (newer + 1 < covered) {
+    const std::size_t middle = (newer + covered) / 2;
+    const TimePoint time = this->times[(this->next + kRecentEvents - middle) % kRecentEvents];
+    (time > aSince ? newer : covered) = middle;
   }
-  return static_cast<int>(later);
+  return static_cast<int>(newer);
 }
 
 EndpointActivity::EndpointActivity(std::uint64_t aKey, TimePoint aFirstSeen)
@@ -64,26 +64,26 @@
 }
 
 void
-EndpointActivity::OnCallEnded(double aSeconds, bool aWhole)
+EndpointActivity::OnCallEnded(double aSeconds, bool aSucceeded)
 {
-  this->callFailures += kCallWeight * ((aWhole ? 0 : 1) - this->callFailures);
-  if (aWhole) {
+  this->callFailureRate += kCallAverageWeight * ((aSucceeded ? 0 : 1) - this->callFailureRate);
+  if (aSucceeded) {
     this->callSeconds = this->callSeconds > 0
-                          ? this->callSeconds + kCallWeight * (aSeconds - this->callSeconds)
+                          ? this->callSeconds + kCallAverageWeight * (aSeconds - this->callSeconds)
                           : aSeconds;
   }
 }
 
 double
-EndpointActivity::CallCost() const
+EndpointActivity::ExpectedCallSeconds() const
 {
   // A failed call costs its caller more than the time to try again
-  const double whole = std::max(1 - this->callFailures, kLeastWhole);
-  return this->callSeconds / (whole * whole * whole);
+  const double successRate = std::max(1 - this->callFailureRate, kMinSuccessRate);
+  return this->callSeconds / (successRate * successRate * successRate);
 }
 
 int
-EndpointActivity::NetSince(TimePoint aSince) const
+EndpointActivity::InFlightChangeSince(TimePoint aSince) const
 {
   return this->dispatched.CountSince(aSince) - this->finished.CountSince(aSince);
 }
@@ -98,7 +98,7 @@
 EndpointActivity::PrefillPending(int aPriority) const
 {
   int sum = 0;
-  for (int priority = aPriority; priority < kLevels; ++priority) {
+  for (int priority = aPriority; priority < kPriorityLevels; ++priority) {
     sum += this->prefillPending[static_cast<std::size_t>(priority)];
   }
   return sum;
--- a/Lagoonward/Routing/EndpointActivity.h
+++ b/Lagoonward/Routing/EndpointActivity.h
@@ -12,7 +12,7 @@
 class EndpointActivity
 {
 public:
-  static constexpr int kLevels = 8; ///< Engine priorities that are told apart; see RouteScore.h.
+  static constexpr int kPriorityLevels = 8; ///< Engine priorities that are told apart; see RouteScore.h.
 
   EndpointActivity() = default;
   EndpointActivity(std::uint64_t aKey, TimePoint aFirstSeen);
@@ -21,10 +21,10 @@
   void OnFirstToken(int aUncachedTokens, int aPriority);
   void OnFinished(TimePoint aNow);
 
-  /// Dispatches less finishes since that moment. Exact for the last kRecent of each.
-  [[nodiscard]] int NetSince(TimePoint aSince) const;
+  /// Dispatches less finishes since that moment. Exact for the last kRecentEvents of each.
+  [[nodiscard]] int InFlightChangeSince(TimePoint aSince) const;
 
-  /// Dispatches since that moment, kRecent at most.
+  /// Dispatches since that moment, kRecentEvents at most.
   [[nodiscard]] int DispatchedSince(TimePoint aSince) const;
 
   /// Prompt tokens sent whose first token has not come, of that engine priority and above.
@@ -34,11 +34,11 @@
   [[nodiscard]] TimePoint FirstSeen() const { return this->firstSeen; }
   [[nodiscard]] int InFlight() const { return this->inFlight; }
 
-  /// Notes how a plain call ended, for CallCost().
-  void OnCallEnded(double aSeconds, bool aWhole);
+  /// Notes how a plain call ended, for ExpectedCallSeconds().
+  void OnCallEnded(double aSeconds, bool aSucceeded);
 
   /// Seconds that a plain call is expected to take there, failed ones tried again; zero while unknown.
-  [[nodiscard]] double CallCost() const;
+  [[nodiscard]] double ExpectedCallSeconds() const;
 
   /// Requests that the other daemons had in flight there when they last told.
   void OnPeersInFlight(int aCount) { this->peersInFlight = aCount; }
@@ -47,12 +47,12 @@
   CircuitBreaker breaker;
 
 private:
-  static constexpr std::size_t kRecent = 32;
+  static constexpr std::size_t kRecentEvents = 32;
 
   /// Times of the last events, overwritten in turn.
-  struct Recent
+  struct RecentEvents
   {
-    std::array<TimePoint, kRecent> times{};
+    std::array<TimePoint, kRecentEvents> times{};
     std::size_t next = 0;
 
     void Add(TimePoint aTime);
@@ -64,10 +64,10 @@
   int inFlight = 0;
   int peersInFlight = 0;
   double callSeconds = 0;                    ///< Averaged; zero before the first.
-  double callFailures = 0;                   ///< Averaged part of calls that failed.
-  std::array<int, kLevels> prefillPending{}; ///< Tokens, by engine priority.
-  Recent dispatched;
-  Recent finished;
+  double callFailureRate = 0;                   ///< Averaged part of calls that failed.
+  std::array<int, kPriorityLevels> prefillPending{}; ///< Tokens, by engine priority.
+  RecentEvents dispatched;
+  RecentEvents finished;
 };
 
 } // namespace lagoonward
--- a/Lagoonward/Routing/HedgePolicy.cpp
+++ b/Lagoonward/Routing/HedgePolicy.cpp
@@ -19,7 +19,7 @@
 {
   // Too late for a second attempt is too late to spend an endpoint's time on it
   return aNow >= HedgeTime(aState, aSettings) &&
-         aNow + ToDuration(aState.wholeSeconds) <= aState.deadline;
+         aNow + ToDuration(aState.secondAttemptSeconds) <= aState.deadline;
 }
 
 TimePoint
@@ -29,8 +29,8 @@
     return TimePoint::max();
   }
   const TimePoint overdue =
-    aState.dispatchedAt + ToDuration(aState.firstTokenSeconds * aSettings.patience);
-  const TimePoint lastMoment = aState.deadline - ToDuration(aState.wholeSeconds * aSettings.safety);
+    aState.dispatchedAt + ToDuration(aState.firstTokenSeconds * aSettings.overdueFactor);
+  const TimePoint lastMoment = aState.deadline - ToDuration(aState.secondAttemptSeconds * aSettings.durationMargin);
   return std::max(overdue, lastMoment);
 }
 
--- a/Lagoonward/Routing/HedgePolicy.h
+++ b/Lagoonward/Routing/HedgePolicy.h
@@ -7,8 +7,8 @@
 /// When a second attempt may run beside the first.
 struct HedgeSettings
 {
-  double safety = 1.5; ///< A second attempt must start while this times its predicted time is left.
-  double patience = 2; ///< The first must be this many times later than predicted.
+  double durationMargin = 1.5; ///< A second attempt must start while this times its predicted time is left.
+  double overdueFactor = 2; ///< The first must be this many times later than predicted.
 };
 
 /// One attempt as the hedge policy sees it.
@@ -19,7 +19,7 @@
   TimePoint dispatchedAt;
   TimePoint deadline = TimePoint::max();
   double firstTokenSeconds = 0; ///< Predicted for the first attempt.
-  double wholeSeconds = 0;      ///< Predicted for a second attempt, from start to last token.
+  double secondAttemptSeconds = 0;      ///< Predicted for a second attempt, from start to last token.
 };
 
 /// Whether to send a second attempt to another endpoint now: only requests that may run twice, only
--- a/Lagoonward/Routing/InFlightBook.cpp
+++ b/Lagoonward/Routing/InFlightBook.cpp
@@ -2,8 +2,8 @@
 
 namespace lagoonward {
 
-InFlightBook::InFlightBook(Milliseconds aMemory, const Clock& aClock)
-  : memory(aMemory)
+InFlightBook::InFlightBook(Milliseconds aRetention, const Clock& aClock)
+  : retention(aRetention)
   , clock(aClock)
 {
 }
@@ -11,10 +11,10 @@
 void
 InFlightBook::OnCounts(std::uint64_t aRun, InFlightCounts aCounts)
 {
-  Told& told = this->runs[aRun];
-  this->Add(told.counts, -1);
-  told = { this->clock.Now(), std::move(aCounts) };
-  this->Add(told.counts, 1);
+  RunCounts& run = this->runs[aRun];
+  this->Add(run.counts, -1);
+  run = { this->clock.Now(), std::move(aCounts) };
+  this->Add(run.counts, 1);
 }
 
 void
@@ -30,11 +30,11 @@
 }
 
 void
-InFlightBook::ForgetSilent()
+InFlightBook::ExpireSilentRuns()
 {
   const TimePoint now = this->clock.Now();
   for (auto run = this->runs.begin(); run != this->runs.end();) {
-    if (now - run->second.heard <= this->memory) {
+    if (now - run->second.receivedAt <= this->retention) {
       ++run;
       continue;
     }
@@ -46,35 +46,35 @@
 InFlightCounts
 InFlightBook::SumOfOthers(std::uint64_t aRun)
 {
-  this->ForgetSilent();
+  this->ExpireSilentRuns();
   const auto own = this->runs.find(aRun);
-  return this->SumWithout(own == this->runs.end() ? InFlightCounts{} : own->second.counts);
+  return this->SumExcluding(own == this->runs.end() ? InFlightCounts{} : own->second.counts);
 }
 
 InFlightCounts
 InFlightBook::Sum()
 {
-  this->ForgetSilent();
-  return this->SumWithout({});
+  this->ExpireSilentRuns();
+  return this->SumExcluding({});
 }
 
 InFlightCounts
-InFlightBook::SumWithout(const InFlightCounts& aCounts) const
+InFlightBook::SumExcluding(const InFlightCounts& aCounts) const
 {
-  std::map<std::uint64_t, std::int32_t> without;
+  std::map<std::uint64_t, std::int32_t> excluded;
   for (const auto& [endpoint, count] : aCounts) {
-    without[endpoint] += count;
+    excluded[endpoint] += count;
   }
-  InFlightCounts rest;
-  rest.reserve(this->sums.size());
+  InFlightCounts result;
+  result.reserve(this->sums.size());
   for (const auto& [endpoint, sum] : this->sums) {
-    const auto own = without.find(endpoint);
-    const std::int32_t left = own == without.end() ? sum : sum - own->second;
-    if (left != 0) {
-      rest.emplace_back(endpoint, left);
+    const auto own = excluded.find(endpoint);
+    const std::int32_t remaining = own == excluded.end() ? sum : sum - own->second;
+    if (remaining != 0) {
+      result.emplace_back(endpoint, remaining);
     }
   }
-  return rest;
+  return result;
 }
 
 } // namespace lagoonward
--- a/Lagoonward/Routing/InFlightBook.h
+++ b/Lagoonward/Routing/InFlightBook.h
@@ -17,8 +17,8 @@
 class InFlightBook
 {
 public:
-  /// @param aMemory  a daemon that has been silent this long no longer counts
-  InFlightBook(Milliseconds aMemory, const Clock& aClock);
+  /// @param aRetention  a daemon that has been silent this long no longer counts
+  InFlightBook(Milliseconds aRetention, const Clock& aClock);
 
   /// A daemon has told.
   /// @param aRun  names the daemon and this run of it
@@ -31,19 +31,19 @@
   [[nodiscard]] InFlightCounts Sum();
 
 private:
-  struct Told
+  struct RunCounts
   {
-    TimePoint heard;
+    TimePoint receivedAt;
     InFlightCounts counts;
   };
 
   void Add(const InFlightCounts& aCounts, int aSign);
-  void ForgetSilent();
-  [[nodiscard]] InFlightCounts SumWithout(const InFlightCounts& aCounts) const;
+  void ExpireSilentRuns();
+  [[nodiscard]] InFlightCounts SumExcluding(const InFlightCounts& aCounts) const;
 
-  Milliseconds memory;
+  Milliseconds retention;
   const Clock& clock;
-  std::map<std::uint64_t, Told> runs;
+  std::map<std::uint64_t, RunCounts> runs;
   std::map<std::uint64_t, std::int32_t> sums; ///< By endpoint, over `runs`; without zeros.
 };
 
--- a/Lagoonward/Routing/PrefixIndex.cpp
+++ b/Lagoonward/Routing/PrefixIndex.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr Milliseconds kTick{ 100 };
-constexpr std::size_t kProbes = 8;
+constexpr std::size_t kDepthProbes = 8;
 
 } // namespace
 
@@ -22,7 +22,7 @@
 }
 
 PrefixIndex::Tick
-PrefixIndex::Now() const
+PrefixIndex::CurrentTick() const
 {
   return static_cast<Tick>((this->clock.Now() - this->start) / kTick) + 1;
 }
@@ -30,13 +30,13 @@
 void
 PrefixIndex::OnStored(std::uint64_t aEndpointKey, std::span<const std::uint64_t> aBlocks)
 {
-  this->Remember(aEndpointKey, aBlocks, true);
+  this->Record(aEndpointKey, aBlocks, true);
 }
 
 void
 PrefixIndex::OnDispatched(std::uint64_t aEndpointKey, std::span<const std::uint64_t> aBlocks)
 {
-  this->Remember(aEndpointKey, aBlocks, false);
+  this->Record(aEndpointKey, aBlocks, false);
 }
 
 void
@@ -48,15 +48,15 @@
     if (found == nullptr) {
       continue;
     }
-    const auto place = static_cast<std::size_t>(found - this->entries.data());
-    Entry& entry = this->entries[place];
-    bool held = false;
+    const auto slot = static_cast<std::size_t>(found - this->entries.data());
+    Entry& entry = this->entries[slot];
+    bool hasHolder = false;
     for (Holder& holder : entry.holders) {
       holder = holder.tag == tag ? Holder{} : holder;
-      held = held || holder.tag != 0;
+      hasHolder = hasHolder || holder.tag != 0;
     }
-    if (!held) {
-      this->keys[place] = 0;
+    if (!hasHolder) {
+      this->keys[slot] = 0;
       entry = {};
     }
   }
@@ -65,72 +65,72 @@
 void
 PrefixIndex::OnGap(std::uint64_t aEndpointKey)
 {
-  this->doubts[TagOf(aEndpointKey)] = this->Now();
+  this->gapTicks[TagOf(aEndpointKey)] = this->CurrentTick();
 }
 
 void
-PrefixIndex::OnGone(std::uint64_t aEndpointKey)
+PrefixIndex::OnReset(std::uint64_t aEndpointKey)
 {
   // Entries are left to age; a tick in the future of all of them makes them void
-  this->resets[TagOf(aEndpointKey)] = this->Now() + 1;
-  this->doubts.erase(TagOf(aEndpointKey));
+  this->resetTicks[TagOf(aEndpointKey)] = this->CurrentTick() + 1;
+  this->gapTicks.erase(TagOf(aEndpointKey));
 }
 
 void
-PrefixIndex::Remember(std::uint64_t aEndpointKey, std::span<const std::uint64_t> aBlocks,
+PrefixIndex::Record(std::uint64_t aEndpointKey, std::span<const std::uint64_t> aBlocks,
                       bool aConfirmed)
 {
   const auto tag = TagOf(aEndpointKey);
-  const Tick now = this->Now();
+  const Tick now = this->CurrentTick();
   const std::uint32_t stamp = now * 2 + (aConfirmed ? 1 : 0);
   for (const std::uint64_t block : aBlocks) {
-    Entry& entry = this->Claim(block);
-    entry.uses = static_cast<float>(this->UsesOf(entry, now) + (aConfirmed ? 0 : 1));
-    entry.used = now;
+    Entry& entry = this->FindOrReplace(block);
+    entry.uses = static_cast<float>(this->DecayedUses(entry, now) + (aConfirmed ? 0 : 1));
+    entry.updated = now;
 
     // Its own place, else a free one, else the stalest
-    Holder* place = entry.holders.data();
+    Holder* slot = entry.holders.data();
     for (Holder& holder : entry.holders) {
       if (holder.tag == tag) {
-        place = &holder;
+        slot = &holder;
         break;
       }
-      if (holder.stamp < place->stamp) {
-        place = &holder;
+      if (holder.stamp < slot->stamp) {
+        slot = &holder;
       }
     }
-    *place = { tag, stamp };
+    *slot = { tag, stamp };
   }
 }
 
 std::size_t
-PrefixIndex::FirstWay(std::uint64_t aBlock) const
+PrefixIndex::FirstWayOf(std::uint64_t aBlock) const
 {
   return aBlock % (this->keys.size() / kWays) * kWays;
 }
 
 PrefixIndex::Entry&
-PrefixIndex::Claim(std::uint64_t aBlock)
+PrefixIndex::FindOrReplace(std::uint64_t aBlock)
 {
-  const std::size_t first = this->FirstWay(aBlock);
-  std::size_t place = first;
+  const std::size_t first = this->FirstWayOf(aBlock);
+  std::size_t slot = first;
   for (std::size_t way = first; way < first + kWays; ++way) {
     if (this->keys[way] == aBlock) {
       return this->entries[way];
     }
-    if (this->entries[way].used < this->entries[place].used) {
-      place = way;
+    if (this->entries[way].updated < this->entries[slot].updated) {
+      slot = way;
     }
   }
-  this->keys[place] = aBlock;
-  this->entries[place] = {};
-  return this->entries[place];
+  this->keys[slot] = aBlock;
+  this->entries[slot] = {};
+  return this->entries[slot];
 }
 
 const PrefixIndex::Entry*
 PrefixIndex::FindEntry(std::uint64_t aBlock) const
 {
-  const std::size_t first = this->FirstWay(aBlock);
+  const std::size_t first = this->FirstWayOf(aBlock);
   for (std::size_t way = first; way < first + kWays; ++way) {
     if (this->keys[way] == aBlock) {
       return &this->entries[way];
@@ -140,33 +140,33 @@
 }
 
 double
-PrefixIndex::TrustIn(const Holder& aHolder, Tick aNow) const
+PrefixIndex::ConfidenceIn(const Holder& aHolder, Tick aNow) const
 {
   const Tick tick = aHolder.stamp / 2;
   if (aHolder.tag == 0 || (aNow - tick) * kTick > this->settings.maxAge) {
     return 0;
   }
-  const auto reset = this->resets.find(aHolder.tag);
-  if (reset != this->resets.end() && tick < reset->second) {
+  const auto reset = this->resetTicks.find(aHolder.tag);
+  if (reset != this->resetTicks.end() && tick < reset->second) {
     return 0;
   }
-  double trust = (aHolder.stamp & 1U) != 0 ? 1 : this->settings.dispatchedConfidence;
-  const auto doubt = this->doubts.find(aHolder.tag);
-  if (doubt != this->doubts.end() && tick < doubt->second) {
-    trust *= this->settings.gapConfidence;
+  double confidence = (aHolder.stamp & 1U) != 0 ? 1 : this->settings.dispatchedConfidence;
+  const auto gap = this->gapTicks.find(aHolder.tag);
+  if (gap != this->gapTicks.end() && tick < gap->second) {
+    confidence *= this->settings.gapConfidence;
   }
-  return trust;
+  return confidence;
 }
 
 double
-PrefixIndex::UsesOf(const Entry& aEntry, Tick aNow) const
+PrefixIndex::DecayedUses(const Entry& aEntry, Tick aNow) const
 {
-  const double age = static_cast<double>(aNow - aEntry.used) * kTick / this->settings.usesHalfLife;
+  const double age = static_cast<double>(aNow - aEntry.updated) * kTick / this->settings.usesHalfLife;
   return aEntry.uses * std::exp2(-age);
 }
 
 std::size_t
-PrefixIndex::DepthKnown(std::span<const std::uint64_t> aBlocks) const
+PrefixIndex::KnownDepth(std::span<const std::uint64_t> aBlocks) const
 {
   std::size_t known = 0;
   std::size_t unknown = aBlocks.size() + 1;
@@ -180,15 +180,15 @@
 PrefixMatch
 PrefixIndex::Find(std::span<const std::uint64_t> aBlocks, std::span<PrefixHolder> aHolders) const
 {
-  const Tick now = this->Now();
-  const std::size_t known = this->DepthKnown(aBlocks);
+  const Tick now = this->CurrentTick();
+  const std::size_t known = this->KnownDepth(aBlocks);
 
   // Who knows that much, and who an eighth less, and so on
   PrefixMatch match;
-  std::size_t& filled = match.holders;
+  std::size_t& filled = match.holderCount;
   std::size_t previous = 0;
-  for (std::size_t probe = kProbes; probe > 0; --probe) {
-    const std::size_t depth = known * probe / kProbes;
+  for (std::size_t probe = kDepthProbes; probe > 0; --probe) {
+    const std::size_t depth = known * probe / kDepthProbes;
     if (depth == 0 || depth == previous) {
       continue;
     }
@@ -197,15 +197,15 @@
     if (entry == nullptr) {
       continue;
     }
-    match.uses = std::max(match.uses, depth == known ? this->UsesOf(*entry, now) : 0);
+    match.uses = std::max(match.uses, depth == known ? this->DecayedUses(*entry, now) : 0);
     for (const Holder& holder : entry->holders) {
-      const double trust = this->TrustIn(holder, now);
+      const double confidence = this->ConfidenceIn(holder, now);
       const auto listed =
         std::find_if(aHolders.begin(), aHolders.begin() + static_cast<std::ptrdiff_t>(filled),
                      [&](const PrefixHolder& aListed) { return aListed.tag == holder.tag; });
       const bool isNew = listed == aHolders.begin() + static_cast<std::ptrdiff_t>(filled);
-      if (trust > 0 && isNew && filled < aHolders.size()) {
-        const double tokens = trust * static_cast<double>(depth * this->settings.blockTokens);
+      if (confidence > 0 && isNew && filled < aHolders.size()) {
+        const double tokens = confidence * static_cast<double>(depth * this->settings.blockTokens);
         aHolders[filled++] = { holder.tag, tokens };
       }
     }
--- a/Lagoonward/Routing/PrefixIndex.h
+++ b/Lagoonward/Routing/PrefixIndex.h
@@ -20,7 +20,7 @@
 /// What Find() found.
 struct PrefixMatch
 {
-  std::size_t holders = 0; ///< How many were filled in.
+  std::size_t holderCount = 0; ///< How many were filled in.
   double uses =
     0; ///< Own dispatches of the longest known beginning lately, decayed by half per half-life.
 };
@@ -54,7 +54,7 @@
   void OnDispatched(std::uint64_t aEndpointKey, std::span<const std::uint64_t> aBlocks);
 
   /// The endpoint is gone or has restarted empty.
-  void OnGone(std::uint64_t aEndpointKey);
+  void OnReset(std::uint64_t aEndpointKey);
 
   /// Endpoints that hold the longest known beginnings of a prompt, best first per probe. Looks at a number of blocks
   /// that grows with the logarithm of the prompt only; matches may be understated by an eighth.
@@ -62,7 +62,7 @@
                                  std::span<PrefixHolder> aHolders) const;
 
 private:
-  static constexpr std::size_t kHolders = 12; ///< Endpoints remembered per block.
+  static constexpr std::size_t kHoldersPerBlock = 12; ///< Endpoints remembered per block.
   static constexpr std::size_t kWays = 4;     ///< Places that one block may take.
 
   /// Ticks of a tenth of a second since the index was made, from 1 on.
@@ -76,19 +76,19 @@
 
   struct Entry
   {
-    Tick used = 0;  ///< Last news or dispatch.
+    Tick updated = 0;  ///< Last news or dispatch.
     float uses = 0; ///< Own dispatches, decayed up to `used`.
-    std::array<Holder, kHolders> holders;
+    std::array<Holder, kHoldersPerBlock> holders;
   };
 
-  [[nodiscard]] Tick Now() const;
+  [[nodiscard]] Tick CurrentTick() const;
   [[nodiscard]] const Entry* FindEntry(std::uint64_t aBlock) const;
-  [[nodiscard]] Entry& Claim(std::uint64_t aBlock);
-  [[nodiscard]] double TrustIn(const Holder& aHolder, Tick aNow) const;
-  [[nodiscard]] double UsesOf(const Entry& aEntry, Tick aNow) const;
-  [[nodiscard]] std::size_t FirstWay(std::uint64_t aBlock) const;
-  [[nodiscard]] std::size_t DepthKnown(std::span<const std::uint64_t> aBlocks) const;
-  void Remember(std::uint64_t aEndpointKey, std::span<const std::uint64_t> aBlocks,
+  [[nodiscard]] Entry& FindOrReplace(std::uint64_t aBlock);
+  [[nodiscard]] double ConfidenceIn(const Holder& aHolder, Tick aNow) const;
+  [[nodiscard]] double DecayedUses(const Entry& aEntry, Tick aNow) const;
+  [[nodiscard]] std::size_t FirstWayOf(std::uint64_t aBlock) const;
+  [[nodiscard]] std::size_t KnownDepth(std::span<const std::uint64_t> aBlocks) const;
+  void Record(std::uint64_t aEndpointKey, std::span<const std::uint64_t> aBlocks,
                 bool aConfirmed);
 
   PrefixIndexSettings settings;
@@ -98,8 +98,8 @@
   std::vector<std::uint64_t> keys;
   std::vector<Entry> entries; ///< Sets of kWays entries.
   std::unordered_map<std::uint32_t, Tick>
-    doubts; ///< Per tag: entries before that tick are doubtful.
-  std::unordered_map<std::uint32_t, Tick> resets; ///< Per tag: entries before that tick are void.
+    gapTicks; ///< Per tag: entries before that tick are doubtful.
+  std::unordered_map<std::uint32_t, Tick> resetTicks; ///< Per tag: entries before that tick are void.
 };
 
 } // namespace lagoonward
--- a/Lagoonward/Routing/RouteChoice.cpp
+++ b/Lagoonward/Routing/RouteChoice.cpp
@@ -14,7 +14,7 @@
     "cached; cost {:.3g} = prefill {:.3g} + decode {:.3g} + miss {:.3g} + reclaim {:.3g} + "
     "recompute {:.3g} + "
     "locality {:.3g} + slow start {:.3g}",
-    target.id, this->table->FailureDomains()[target.failureDomain], this->considered,
+    target.id, this->table->FailureDomains()[target.failureDomain], this->scoredEndpoints,
     this->firstTokenSeconds * kMillis, this->betweenTokensSeconds * kMillis, this->cachedTokens,
     this->cost.Total(), this->cost.prefill, this->cost.decode, this->cost.miss, this->cost.reclaim,
     this->cost.recompute, this->cost.locality, this->cost.slowStart);
--- a/Lagoonward/Routing/RouteChoice.h
+++ b/Lagoonward/Routing/RouteChoice.h
@@ -37,7 +37,7 @@
   double betweenTokensSeconds = 0; ///< Predicted.
   int priority = 0;                ///< To be sent to the engine; see EnginePriority().
   int cachedTokens = 0;            ///< Part of the prompt that is expected in the endpoint's cache.
-  int considered = 0;              ///< Endpoints that were scored.
+  int scoredEndpoints = 0;              ///< Endpoints that were scored.
   /// Index of an endpoint from which the kept beginning of the prompt is to be fetched; `cachedTokens` counts it.
   std::optional<std::uint32_t> fetchFrom;
 
--- a/Lagoonward/Routing/RouteScore.h
+++ b/Lagoonward/Routing/RouteScore.h
@@ -8,21 +8,21 @@
 namespace lagoonward {
 
 /// What is estimated of one endpoint at the moment of a decision.
-struct EndpointOutlook
+struct EndpointEstimate
 {
   MachineSpeed speed;
   double pricePerSecond = 0;
   double sequences = 0;    ///< Running and waiting there, own dispatches since the report included.
-  double prefillAhead = 0; ///< Prompt tokens to be computed before this request's.
+  double queuedPrefillTokens = 0; ///< Prompt tokens to be computed before this request's.
   double cachedTokens = 0; ///< Of this request's prompt.
   double fetchedTokens =
     0; ///< Of the prompt, beyond the cached ones, that it fetches from another endpoint.
   double fetchSecondsPerToken = 0;
   double bestCachedTokens = 0;  ///< The same at the endpoint that has most of it.
   double prefixUses = 0;        ///< Of the longest known beginning lately, over all daemons.
-  double homeShare = 0;         ///< 1 at the prefix's first home, less at the next, else 0.
+  double homeWeight = 0;         ///< 1 at the prefix's first home, less at the next, else 0.
   double reclaimsPerSecond = 0; ///< Chance that the host goes.
-  double newness = 0;           ///< 1 just after it appeared, 0 once slow start is over.
+  double slowStartFactor = 0;           ///< 1 just after it appeared, 0 once slow start is over.
   bool mayPreempt = false;      ///< The request outranks most of what is there.
 };
 
@@ -36,7 +36,7 @@
 };
 
 /// The priority that is sent along to the engine: the class's rank first, then the shorter prefill first, so that a request whose
-/// prefix is cached need not wait for a long document to be read. From 0 to EndpointActivity::kLevels - 1.
+/// prefix is cached need not wait for a long document to be read. From 0 to EndpointActivity::kPriorityLevels - 1.
 [[nodiscard]] int
 EnginePriority(int aRank, double aUncachedTokens);
 
@@ -45,7 +45,7 @@
 /// @param aRank           rank of the request's priority, 0 the lowest
 /// @param aMeanPrice      mean price per second of the fleet: what a miss is worth must not depend on the endpoint
 [[nodiscard]] RouteScore
-ScoreEndpoint(const EndpointOutlook& aOutlook, const RouteRequest& aRequest, int aRank,
+ScoreEndpoint(const EndpointEstimate& aEstimate, const RouteRequest& aRequest, int aRank,
               double aMeanPrice, const RoutingSettings& aSettings);
 
 } // namespace lagoonward
--- a/Lagoonward/Routing/Router.cpp
+++ b/Lagoonward/Routing/Router.cpp
@@ -32,7 +32,7 @@
 Router::Router(const RoutingSettings& aSettings, const Clock& aClock, std::uint64_t aSeed)
   : settings(aSettings)
   , clock(aClock)
-  , random(aSeed)
+  , randomState(aSeed)
   , speed(aSettings.speed)
   , prefixes(aSettings.prefix, aClock)
 {
@@ -46,22 +46,22 @@
 
   // Endpoints of the very first table are as old as can be: all starting slowly would mean none does
   const TimePoint firstSeen = this->table ? now : now - this->settings.slowStart;
-  std::vector<EndpointActivity> kept;
+  std::vector<EndpointActivity> activitiesKept;
   std::unordered_map<std::uint64_t, std::uint32_t> places;
-  kept.reserve(aTable->Targets().size());
-  this->tags.clear();
-  this->lives.clear();
+  activitiesKept.reserve(aTable->Targets().size());
+  this->targetByTag.clear();
+  this->keyByIdHash.clear();
   for (const RoutingTarget& target : aTable->Targets()) {
-    const auto index = static_cast<std::uint32_t>(kept.size());
+    const auto index = static_cast<std::uint32_t>(activitiesKept.size());
     const EndpointActivity* known = this->FindActivity(target.key);
-    kept.push_back(known != nullptr ? *known : EndpointActivity(target.key, firstSeen));
+    activitiesKept.push_back(known != nullptr ? *known : EndpointActivity(target.key, firstSeen));
     places.emplace(target.key, index);
-    this->lives.emplace(HashBytes(target.id), target.key);
-    this->tags.emplace(PrefixIndex::TagOf(target.key), index);
+    this->keyByIdHash.emplace(HashBytes(target.id), target.key);
+    this->targetByTag.emplace(PrefixIndex::TagOf(target.key), index);
   }
   for (const EndpointActivity& activity : this->activities) {
     if (places.count(activity.Key()) == 0) {
-      this->prefixes.OnGone(activity.Key());
+      this->prefixes.OnReset(activity.Key());
     }
   }
 
@@ -73,11 +73,11 @@
     this->speed.ObserveLoad(this->speedIndices[target.machineClass], target.waiting,
                             target.running);
   }
-  this->activities = std::move(kept);
+  this->activities = std::move(activitiesKept);
   this->ownInFlight = std::accumulate(
     this->activities.begin(), this->activities.end(), 0,
     [](int aSum, const EndpointActivity& aActivity) { return aSum + aActivity.InFlight(); });
-  this->positions = std::move(places);
+  this->targetByKey = std::move(places);
   this->table = std::move(aTable);
 }
 
@@ -95,67 +95,67 @@
   if (!this->table) {
     return Error(ErrorKind::NoConfiguration, "no routing table yet");
   }
-  Scene scene;
+  DecisionContext context;
   const auto group = this->table->FindGroup(aRequest);
   if (!group) {
     return group.error();
   }
-  scene.group = group.value();
-  this->FillScene(aRequest, scene);
+  context.group = group.value();
+  this->FillContext(aRequest, context);
   Candidates candidates;
   if (aRequest.onlyEndpoint.empty()) {
-    this->Collect(scene, candidates);
+    this->CollectCandidates(context, candidates);
   } else {
-    this->CollectOnly(aRequest.onlyEndpoint, scene, candidates);
+    this->CollectRequired(aRequest.onlyEndpoint, context, candidates);
   }
 
   // The cheapest of those that finish by the deadline
-  const double left = ToSeconds(aRequest.deadline - scene.now);
-  RoutingSettings rules = this->settings;
-  rules.spread = this->Spread();
+  const double left = ToSeconds(aRequest.deadline - context.now);
+  RoutingSettings scoreSettings = this->settings;
+  scoreSettings.spread = this->PredictionSpread();
   RouteChoice choice;
   double best = 0;
-  double soonest = 0;
+  double earliest = 0;
   int eligible = 0;
   for (std::size_t index = 0; index < candidates.count; ++index) {
     const std::uint32_t target = candidates.targets[index];
-    if (!this->IsEligible(target, aRequest, scene.now)) {
+    if (!this->IsEligible(target, aRequest, context.now)) {
       continue;
     }
-    const EndpointOutlook outlook = this->OutlookOf(target, scene);
+    const EndpointEstimate estimate = this->EstimateFor(target, context);
     RouteScore score =
       aRequest.isPlainCall
         ? this->ScoreCall(target)
-        : ScoreEndpoint(outlook, aRequest, scene.rank, this->table->MeanPricePerSecond(), rules);
+        : ScoreEndpoint(estimate, aRequest, context.rank, this->table->MeanPricePerSecond(), scoreSettings);
     score.cost.latency = this->WithNoise(score.cost.latency);
-    soonest = eligible == 0 ? score.finishSeconds : std::min(soonest, score.finishSeconds);
+    earliest = eligible == 0 ? score.finishSeconds : std::min(earliest, score.finishSeconds);
     ++eligible;
     const double total = score.cost.Total();
-    if (score.finishSeconds <= left && (choice.considered == 0 || total < best)) {
+    if (score.finishSeconds <= left && (choice.scoredEndpoints == 0 || total < best)) {
       best = total;
       choice.endpoint = target;
       choice.cost = score.cost;
       choice.firstTokenSeconds = score.firstTokenSeconds;
       choice.betweenTokensSeconds = score.betweenTokensSeconds;
-      choice.cachedTokens = static_cast<int>(outlook.cachedTokens + outlook.fetchedTokens);
-      choice.fetchFrom = outlook.fetchedTokens > 0 ? this->BestHolder(scene) : std::nullopt;
-      choice.considered = 1;
+      choice.cachedTokens = static_cast<int>(estimate.cachedTokens + estimate.fetchedTokens);
+      choice.fetchFrom = estimate.fetchedTokens > 0 ? this->BestHolder(context) : std::nullopt;
+      choice.scoredEndpoints = 1;
     }
   }
   if (eligible == 0) {
     return Error(ErrorKind::NoEndpoint,
-                 fmt::format("no endpoint for {} takes work", scene.group->name))
+                 fmt::format("no endpoint for {} takes work", context.group->name))
       .WithRetryAfter(this->settings.retryAfterFloor);
   }
-  if (choice.considered == 0) {
-    const auto excess = std::chrono::duration<double>(soonest - left);
+  if (choice.scoredEndpoints == 0) {
+    const auto excess = std::chrono::duration<double>(earliest - left);
     const auto wait = std::chrono::duration_cast<Milliseconds>(excess);
     return Error(ErrorKind::DeadlineUnreachable,
-                 fmt::format("the soonest answer would come {} ms too late", wait.count()))
+                 fmt::format("the earliest answer would come {} ms too late", wait.count()))
       .WithRetryAfter(std::max(wait, this->settings.retryAfterFloor));
   }
-  choice.considered = eligible;
-  choice.priority = EnginePriority(scene.rank, aRequest.promptTokens - choice.cachedTokens);
+  choice.scoredEndpoints = eligible;
+  choice.priority = EnginePriority(context.rank, aRequest.promptTokens - choice.cachedTokens);
   choice.table = this->table;
   return choice;
 }
@@ -167,7 +167,7 @@
   const std::uint32_t tag = PrefixIndex::TagOf(this->KeyOf(aEndpointId));
   std::array<PrefixHolder, kMaxHolders> holders;
   const PrefixMatch match = this->prefixes.Find(aBlocks, holders);
-  for (std::size_t index = 0; index < match.holders; ++index) {
+  for (std::size_t index = 0; index < match.holderCount; ++index) {
     if (holders.at(index).tag == tag) {
       return static_cast<int>(holders.at(index).tokens);
     }
@@ -176,61 +176,61 @@
 }
 
 void
-Router::CollectOnly(std::string_view aEndpointId, const Scene& aScene,
+Router::CollectRequired(std::string_view aEndpointId, const DecisionContext& aContext,
                     Candidates& aCandidates) const
 {
-  const auto found = this->positions.find(this->KeyOf(aEndpointId));
-  if (found != this->positions.end() && aScene.group->Has(found->second)) {
+  const auto found = this->targetByKey.find(this->KeyOf(aEndpointId));
+  if (found != this->targetByKey.end() && aContext.group->Contains(found->second)) {
     aCandidates.Add(found->second);
   }
 }
 
 void
-Router::FillScene(const RouteRequest& aRequest, Scene& aScene) const
+Router::FillContext(const RouteRequest& aRequest, DecisionContext& aContext) const
 {
-  aScene.now = this->clock.Now();
-  aScene.rank = this->table->RankOf(aRequest.priority);
-  aScene.promptTokens = aRequest.promptTokens;
+  aContext.now = this->clock.Now();
+  aContext.rank = this->table->RankOf(aRequest.priority);
+  aContext.promptTokens = aRequest.promptTokens;
   if (!aRequest.prefixBlocks.empty()) {
-    const PrefixMatch match = this->prefixes.Find(aRequest.prefixBlocks, aScene.holders);
-    aScene.holderCount = match.holders;
-    aScene.prefixUses = match.uses * this->liveDaemons;
+    const PrefixMatch match = this->prefixes.Find(aRequest.prefixBlocks, aContext.holders);
+    aContext.holderCount = match.holderCount;
+    aContext.prefixUses = match.uses * this->liveDaemons;
 
     // What a leaving endpoint has cached cannot be used any more
     auto* const end =
-      std::remove_if(aScene.holders.data(), aScene.holders.data() + aScene.holderCount,
+      std::remove_if(aContext.holders.data(), aContext.holders.data() + aContext.holderCount,
                      [&](const PrefixHolder& aHolder) {
-                       const auto place = this->tags.find(aHolder.tag);
-                       return place == this->tags.end() || !aScene.group->Has(place->second);
+                       const auto place = this->targetByTag.find(aHolder.tag);
+                       return place == this->targetByTag.end() || !aContext.group->Contains(place->second);
                      });
-    aScene.holderCount = static_cast<std::size_t>(end - aScene.holders.data());
-    this->FindHomes(aRequest, aScene);
+    aContext.holderCount = static_cast<std::size_t>(end - aContext.holders.data());
+    this->FindHomes(aRequest, aContext);
   }
 }
 
 void
-Router::FindHomes(const RouteRequest& aRequest, Scene& aScene) const
+Router::FindHomes(const RouteRequest& aRequest, DecisionContext& aContext) const
 {
   // The first endpoints on the ring after the prefix's position, each once
-  const auto& ring = aScene.group->ring;
+  const auto& ring = aContext.group->ring;
   const std::size_t block = std::min(aRequest.prefixBlocks.size() - 1, kHomeBlock);
   const auto less = [](const RingPoint& aPoint, std::uint64_t aPosition) {
     return aPoint.position < aPosition;
   };
   const auto start =
     std::lower_bound(ring.begin(), ring.end(), aRequest.prefixBlocks[block], less) - ring.begin();
-  for (std::size_t step = 0; step < ring.size() && aScene.homeCount < aScene.homes.size(); ++step) {
+  for (std::size_t step = 0; step < ring.size() && aContext.homeCount < aContext.homes.size(); ++step) {
     const auto target = ring[(static_cast<std::size_t>(start) + step) % ring.size()].target;
-    if (aScene.homeCount == 0 || aScene.homes[0] != target) {
-      aScene.homes[aScene.homeCount++] = target;
+    if (aContext.homeCount == 0 || aContext.homes[0] != target) {
+      aContext.homes[aContext.homeCount++] = target;
     }
   }
 }
 
 void
-Router::Collect(const Scene& aScene, Candidates& aCandidates)
+Router::CollectCandidates(const DecisionContext& aContext, Candidates& aCandidates)
 {
-  const auto& members = aScene.group->targets;
+  const auto& members = aContext.group->targets;
   if (members.size() <= std::min(this->settings.fullScan, kMaxCandidates)) {
     for (const std::uint32_t target : members) {
       aCandidates.Add(target);
@@ -239,11 +239,11 @@
   }
 
   // Who is thought to have the prefix, where it would live, and a sample that leans to the cheap
-  for (std::size_t index = 0; index < aScene.holderCount; ++index) {
-    aCandidates.Add(this->tags.at(aScene.holders[index].tag));
+  for (std::size_t index = 0; index < aContext.holderCount; ++index) {
+    aCandidates.Add(this->targetByTag.at(aContext.holders[index].tag));
   }
-  for (std::size_t index = 0; index < aScene.homeCount; ++index) {
-    aCandidates.Add(aScene.homes[index]);
+  for (std::size_t index = 0; index < aContext.homeCount; ++index) {
+    aCandidates.Add(aContext.homes[index]);
   }
   for (std::size_t index = 0; index < this->settings.sample; ++index) {
     const std::size_t range = index % 2 == 0 ? members.size() : members.size() / 4;
@@ -256,11 +256,11 @@
 {
   const RoutingTarget& target = this->table->Targets()[aTarget];
   const std::string_view domain = this->table->FailureDomains()[target.failureDomain];
-  const auto is = [](std::span<const std::string_view> aList, std::string_view aName) {
+  const auto contains = [](std::span<const std::string_view> aList, std::string_view aName) {
     return std::find(aList.begin(), aList.end(), aName) != aList.end();
   };
-  return target.live && !is(aRequest.excludedEndpoints, target.id) &&
-         !is(aRequest.excludedDomains, domain) &&
+  return target.live && !contains(aRequest.excludedEndpoints, target.id) &&
+         !contains(aRequest.excludedDomains, domain) &&
          this->activities[aTarget].breaker.Allows(this->settings.breaker, aNow);
 }
 
@@ -269,15 +269,15 @@
 {
   const RoutingTarget& target = this->table->Targets()[aTarget];
   // One that is new is taken for a good one of its kind, so that it gets its first calls
-  const double learned = this->activities[aTarget].CallCost();
-  const double usual = this->everywhere.CallCost();
+  const double learned = this->activities[aTarget].ExpectedCallSeconds();
+  const double usual = this->totalActivity.ExpectedCallSeconds();
   const double unknown = usual > 0 ? std::min(usual, this->settings.speed.serviceCallSeconds)
                                    : this->settings.speed.serviceCallSeconds;
   const double call = learned > 0 ? learned : unknown;
   const double places = std::max(target.sequences, 1);
-  const double taken = this->SequencesAt(aTarget, this->PeerFactor(target)) / places;
+  const double occupancy = this->EstimatedSequences(aTarget, this->PeerFactor(target)) / places;
   RouteScore score;
-  score.firstTokenSeconds = this->settings.networkSeconds + call * (1 + taken);
+  score.firstTokenSeconds = this->settings.networkSeconds + call * (1 + occupancy);
   score.finishSeconds = score.firstTokenSeconds;
   score.cost.latency = this->table->MeanPricePerSecond() * score.firstTokenSeconds;
   return score;
@@ -291,11 +291,11 @@
 }
 
 double
-Router::PeersAt(const EndpointActivity& aActivity) const
+Router::PeersInFlightAt(const EndpointActivity& aActivity) const
 {
-  const bool isTold = this->peersInFlightAt &&
-                      this->clock.Now() - *this->peersInFlightAt <= this->settings.peerLoadMemory;
-  if (isTold) {
+  const bool hasPeerCounts = this->peersInFlightAt &&
+                      this->clock.Now() - *this->peersInFlightAt <= this->settings.peerLoadRetention;
+  if (hasPeerCounts) {
     return aActivity.PeersInFlight();
   }
   // A few own requests among many endpoints say little about where the others' are; many say more
@@ -311,100 +311,100 @@
 {
   // They see the same reports and follow the same rules. A few own dispatches among many endpoints
   // say little about where the others' have gone; many say more
-  const double missed = this->everywhere.DispatchedSince(aTarget.asOf);
+  const double missed = this->totalActivity.DispatchedSince(aTarget.asOf);
   const double prior =
     this->settings.peerPrior * static_cast<double>(this->table->Targets().size());
   return missed > 0 ? 1 + (this->liveDaemons - 1) * missed / (missed + prior) : 1;
 }
 
 double
-Router::Spread() const
+Router::PredictionSpread() const
 {
-  const double wider = 1 + this->settings.peerSpread * (this->liveDaemons - 1);
-  return this->settings.spread * std::min(wider, 2.0);
+  const double widening = 1 + this->settings.peerSpread * (this->liveDaemons - 1);
+  return this->settings.spread * std::min(widening, 2.0);
 }
 
 double
-Router::SequencesAt(std::uint32_t aTarget, double aPeerFactor) const
+Router::EstimatedSequences(std::uint32_t aTarget, double aPeerFactor) const
 {
   const RoutingTarget& target = this->table->Targets()[aTarget];
   const EndpointActivity& activity = this->activities[aTarget];
-  if (!target.reports) {
-    return activity.InFlight() + this->PeersAt(activity);
+  if (!target.reportsLoad) {
+    return activity.InFlight() + this->PeersInFlightAt(activity);
   }
   const double reported = target.waiting + target.running;
-  const double since = activity.NetSince(target.asOf) * aPeerFactor;
+  const double since = activity.InFlightChangeSince(target.asOf) * aPeerFactor;
   return std::max<double>(reported + since, activity.InFlight());
 }
 
-EndpointOutlook
-Router::OutlookOf(std::uint32_t aTarget, const Scene& aScene) const
+EndpointEstimate
+Router::EstimateFor(std::uint32_t aTarget, const DecisionContext& aContext) const
 {
   const RoutingTarget& target = this->table->Targets()[aTarget];
   const EndpointActivity& activity = this->activities[aTarget];
-  EndpointOutlook outlook;
-  outlook.speed = this->speed.Get(this->speedIndices[target.machineClass]);
+  EndpointEstimate estimate;
+  estimate.speed = this->speed.Get(this->speedIndices[target.machineClass]);
   if (target.sequences > 0) {
-    outlook.speed.sequences = target.sequences;
+    estimate.speed.sequences = target.sequences;
   }
-  outlook.pricePerSecond = target.pricePerSecond;
+  estimate.pricePerSecond = target.pricePerSecond;
   const double peers = this->PeerFactor(target);
-  outlook.sequences = this->SequencesAt(aTarget, peers);
-  outlook.mayPreempt = this->settings.ranksPreempt && aScene.rank > 0;
+  estimate.sequences = this->EstimatedSequences(aTarget, peers);
+  estimate.mayPreempt = this->settings.ranksPreempt && aContext.rank > 0;
   if (target.reclaimable) {
-    const double perHour = this->table->IsGoing(target.failureDomain)
+    const double perHour = this->table->IsLeaving(target.failureDomain)
                              ? this->settings.goingDomainPerHour
                              : this->settings.reclaimsPerHour;
-    outlook.reclaimsPerSecond = perHour / kSecondsPerHour;
+    estimate.reclaimsPerSecond = perHour / kSecondsPerHour;
   }
 
-  outlook.prefixUses = aScene.prefixUses;
+  estimate.prefixUses = aContext.prefixUses;
   const auto tag = PrefixIndex::TagOf(target.key);
-  for (std::size_t index = 0; index < aScene.holderCount; ++index) {
-    outlook.bestCachedTokens = std::max(outlook.bestCachedTokens, aScene.holders[index].tokens);
-    if (aScene.holders[index].tag == tag) {
-      outlook.cachedTokens = aScene.holders[index].tokens;
+  for (std::size_t index = 0; index < aContext.holderCount; ++index) {
+    estimate.bestCachedTokens = std::max(estimate.bestCachedTokens, aContext.holders[index].tokens);
+    if (aContext.holders[index].tag == tag) {
+      estimate.cachedTokens = aContext.holders[index].tokens;
     }
   }
-  for (std::size_t index = 0; index < aScene.homeCount; ++index) {
-    if (aScene.homes[index] == aTarget) {
-      outlook.homeShare = 1.0 / static_cast<double>(index + 1);
+  for (std::size_t index = 0; index < aContext.homeCount; ++index) {
+    if (aContext.homes[index] == aTarget) {
+      estimate.homeWeight = 1.0 / static_cast<double>(index + 1);
     }
   }
-  this->PlanFetch(aTarget, aScene, outlook);
-  const double kept = outlook.cachedTokens + outlook.fetchedTokens;
-  const int priority = EnginePriority(aScene.rank, aScene.promptTokens - kept);
-  outlook.prefillAhead = activity.PrefillPending(priority) * peers;
-  const double age = ToSeconds(aScene.now - activity.FirstSeen());
-  outlook.newness = std::max(1 - age / ToSeconds(this->settings.slowStart), 0.0);
-  return outlook;
+  this->EstimateFetch(aTarget, aContext, estimate);
+  const double activitiesKept = estimate.cachedTokens + estimate.fetchedTokens;
+  const int priority = EnginePriority(aContext.rank, aContext.promptTokens - activitiesKept);
+  estimate.queuedPrefillTokens = activity.PrefillPending(priority) * peers;
+  const double age = ToSeconds(aContext.now - activity.FirstSeen());
+  estimate.slowStartFactor = std::max(1 - age / ToSeconds(this->settings.slowStart), 0.0);
+  return estimate;
 }
 
 std::optional<std::uint32_t>
-Router::BestHolder(const Scene& aScene) const
+Router::BestHolder(const DecisionContext& aContext) const
 {
-  const auto end = aScene.holders.begin() + static_cast<std::ptrdiff_t>(aScene.holderCount);
-  const auto best = std::max_element(aScene.holders.begin(), end,
+  const auto end = aContext.holders.begin() + static_cast<std::ptrdiff_t>(aContext.holderCount);
+  const auto best = std::max_element(aContext.holders.begin(), end,
                                      [](const PrefixHolder& aLeft, const PrefixHolder& aRight) {
                                        return aLeft.tokens < aRight.tokens;
                                      });
   if (best == end) {
     return std::nullopt;
   }
-  return this->tags.at(best->tag);
+  return this->targetByTag.at(best->tag);
 }
 
 void
-Router::PlanFetch(std::uint32_t aTarget, const Scene& aScene, EndpointOutlook& aOutlook) const
+Router::EstimateFetch(std::uint32_t aTarget, const DecisionContext& aContext, EndpointEstimate& aEstimate) const
 {
-  const double more = aOutlook.bestCachedTokens - aOutlook.cachedTokens;
+  const double more = aEstimate.bestCachedTokens - aEstimate.cachedTokens;
   const double perToken = this->table->Targets()[aTarget].fetchSecondsPerToken;
-  const auto holder = this->BestHolder(aScene);
+  const auto holder = this->BestHolder(aContext);
   const bool isFast =
-    perToken > 0 && perToken <= aOutlook.speed.prefillSecondsPerToken * this->settings.fetchPart;
-  if (holder && *holder != aTarget && isFast && more >= this->settings.fewestFetched) {
-    aOutlook.fetchedTokens = more;
-    aOutlook.fetchSecondsPerToken = perToken;
+    perToken > 0 && perToken <= aEstimate.speed.prefillSecondsPerToken * this->settings.maxFetchTimeRatio;
+  if (holder && *holder != aTarget && isFast && more >= this->settings.minFetchedTokens) {
+    aEstimate.fetchedTokens = more;
+    aEstimate.fetchSecondsPerToken = perToken;
   }
 }
 
@@ -419,8 +419,8 @@
 Router::IsAllowed(std::string_view aEndpointId) const
 {
   const std::lock_guard lock(this->mutex);
-  const auto place = this->positions.find(this->KeyOf(aEndpointId));
-  return place == this->positions.end() ||
+  const auto place = this->targetByKey.find(this->KeyOf(aEndpointId));
+  return place == this->targetByKey.end() ||
          this->activities[place->second].breaker.Allows(this->settings.breaker, this->clock.Now());
 }
 
@@ -428,23 +428,23 @@
 Router::KeyOf(std::string_view aEndpointId) const
 {
   const std::uint64_t hash = HashBytes(aEndpointId);
-  const auto life = this->lives.find(hash);
-  return life == this->lives.end() ? hash : life->second;
+  const auto found = this->keyByIdHash.find(hash);
+  return found == this->keyByIdHash.end() ? hash : found->second;
 }
 
 EndpointActivity*
 Router::FindActivity(std::uint64_t aKey)
 {
-  const auto place = this->positions.find(aKey);
-  return place == this->positions.end() ? nullptr : &this->activities[place->second];
+  const auto place = this->targetByKey.find(aKey);
+  return place == this->targetByKey.end() ? nullptr : &this->activities[place->second];
 }
 
 std::uint64_t
 Router::NextRandom()
 {
   // splitmix64
-  this->random += 0x9e3779b97f4a7c15ULL;
-  std::uint64_t mixed = this->random;
+  this->randomState += 0x9e3779b97f4a7c15ULL;
+  std::uint64_t mixed = this->randomState;
   mixed = (mixed ^ (mixed >> 30U)) * 0xbf58476d1ce4e5b9ULL;
   mixed = (mixed ^ (mixed >> 27U)) * 0x94d049bb133111ebULL;
   return mixed ^ (mixed >> 31U);
--- a/Lagoonward/Routing/Router.h
+++ b/Lagoonward/Routing/Router.h
@@ -45,7 +45,7 @@
   int priority = 0;     ///< As sent to the engine.
   double sequences = 0; ///< Estimated batch at the endpoint when it was sent.
   bool isPlainCall = false;
-  bool ranIdle = false; ///< Little was ahead of it, so its first token shows the prefill speed.
+  bool endpointWasIdle = false; ///< Little was ahead of it, so its first token shows the prefill speed.
   bool hasFirstToken = false;
   bool finished = false;
   TimePoint dispatchedAt;
@@ -54,7 +54,7 @@
   /// Events of a stream so far, and the tokens since a moment, of which speed is learned.
   int events = 0;
   int sampleTokens = 0;
-  TimePoint sampleFrom;
+  TimePoint sampleStart;
 };
 
 /// Chooses the endpoint for each attempt: the one with the lowest expected cost in money.
@@ -143,7 +143,7 @@
   };
 
   /// What Choose() works out once per request.
-  struct Scene
+  struct DecisionContext
   {
     const RoutingGroup* group = nullptr;
     std::array<PrefixHolder, kMaxHolders> holders;
@@ -156,19 +156,19 @@
     TimePoint now;
   };
 
-  void FillScene(const RouteRequest& aRequest, Scene& aScene) const;
-  void FindHomes(const RouteRequest& aRequest, Scene& aScene) const;
-  void CollectOnly(std::string_view aEndpointId, const Scene& aScene,
+  void FillContext(const RouteRequest& aRequest, DecisionContext& aContext) const;
+  void FindHomes(const RouteRequest& aRequest, DecisionContext& aContext) const;
+  void CollectRequired(std::string_view aEndpointId, const DecisionContext& aContext,
                    Candidates& aCandidates) const;
-  void Collect(const Scene& aScene, Candidates& aCandidates);
+  void CollectCandidates(const DecisionContext& aContext, Candidates& aCandidates);
   [[nodiscard]] bool IsEligible(std::uint32_t aTarget, const RouteRequest& aRequest,
                                 TimePoint aNow) const;
-  [[nodiscard]] EndpointOutlook OutlookOf(std::uint32_t aTarget, const Scene& aScene) const;
+  [[nodiscard]] EndpointEstimate EstimateFor(std::uint32_t aTarget, const DecisionContext& aContext) const;
   /// Lets an endpoint fetch what another one keeps of the prompt, if that is worth it.
-  void PlanFetch(std::uint32_t aTarget, const Scene& aScene, EndpointOutlook& aOutlook) const;
+  void EstimateFetch(std::uint32_t aTarget, const DecisionContext& aContext, EndpointEstimate& aEstimate) const;
   /// The endpoint that keeps most of the prompt, if any.
-  [[nodiscard]] std::optional<std::uint32_t> BestHolder(const Scene& aScene) const;
-  [[nodiscard]] double SequencesAt(std::uint32_t aTarget, double aPeerFactor) const;
+  [[nodiscard]] std::optional<std::uint32_t> BestHolder(const DecisionContext& aContext) const;
+  [[nodiscard]] double EstimatedSequences(std::uint32_t aTarget, double aPeerFactor) const;
   [[nodiscard]] double PeerFactor(const RoutingTarget& aTarget) const;
   /// What a plain call is expected to take at an endpoint.
   [[nodiscard]] RouteScore ScoreCall(std::uint32_t aTarget) const;
@@ -177,29 +177,29 @@
   /// Concludes anew from what was learned, if the last time is long enough ago.
   void RefreshSpeed(TimePoint aNow);
   /// What the other daemons are thought to have in flight at an endpoint that does not tell its load.
-  [[nodiscard]] double PeersAt(const EndpointActivity& aActivity) const;
+  [[nodiscard]] double PeersInFlightAt(const EndpointActivity& aActivity) const;
   [[nodiscard]] EndpointActivity* FindActivity(std::uint64_t aKey);
   /// Key of the life that an id names now.
   [[nodiscard]] std::uint64_t KeyOf(std::string_view aEndpointId) const;
   [[nodiscard]] std::uint64_t NextRandom();
 
   /// `spread` for the daemons that live now.
-  [[nodiscard]] double Spread() const;
+  [[nodiscard]] double PredictionSpread() const;
 
   RoutingSettings settings;
   const Clock& clock;
   mutable std::mutex mutex; ///< Guards all below.
-  std::uint64_t random;
+  std::uint64_t randomState;
   RoutingTablePtr table;
   SpeedModel speed;
   TimePoint speedRefreshedAt;
   PrefixIndex prefixes;
   std::vector<EndpointActivity> activities;                   ///< Parallel to the table's targets.
-  EndpointActivity everywhere;                                ///< All own dispatches together.
+  EndpointActivity totalActivity;                                ///< All own dispatches together.
   std::vector<std::size_t> speedIndices;                      ///< Per machine class of the table.
-  std::unordered_map<std::uint64_t, std::uint32_t> positions; ///< Endpoint key to target.
-  std::unordered_map<std::uint64_t, std::uint64_t> lives;     ///< Hash of an id to endpoint key.
-  std::unordered_map<std::uint32_t, std::uint32_t> tags;      ///< Prefix tag to target.
+  std::unordered_map<std::uint64_t, std::uint32_t> targetByKey; ///< Endpoint key to target.
+  std::unordered_map<std::uint64_t, std::uint64_t> keyByIdHash;     ///< Hash of an id to endpoint key.
+  std::unordered_map<std::uint32_t, std::uint32_t> targetByTag;      ///< Prefix tag to target.
   int liveDaemons = 1;
   int ownInFlight = 0;                      ///< At all endpoints.
   std::optional<TimePoint> peersInFlightAt; ///< When the others last told.
--- a/Lagoonward/Routing/RouterLearning.cpp
+++ b/Lagoonward/Routing/RouterLearning.cpp
@@ -12,13 +12,13 @@
 namespace {
 
 /// With so little ahead of it, a request's first token shows the speed of prefill.
-constexpr double kIdleTokens = 64;
+constexpr double kIdlePrefillTokens = 64;
 
 /// Events of a stream that make one observation: two that arrive together still leave the others' time true.
 constexpr int kEventsPerSample = 4;
 
 /// Between two conclusions from what was observed: the speed changes slowly, and each costs some microseconds.
-constexpr Milliseconds kSpeedPace{ 250 };
+constexpr Milliseconds kSpeedRefreshInterval{ 250 };
 
 } // namespace
 
@@ -39,13 +39,13 @@
   EndpointActivity* activity = this->FindActivity(target.key);
   if (activity != nullptr) {
     const auto index = static_cast<std::uint32_t>(activity - this->activities.data());
-    dispatch.sequences = this->SequencesAt(index, this->PeerFactor(target)) + 1;
-    dispatch.ranIdle =
-      activity->PrefillPending(0) <= kIdleTokens && this->table->Targets()[index].waiting == 0;
+    dispatch.sequences = this->EstimatedSequences(index, this->PeerFactor(target)) + 1;
+    dispatch.endpointWasIdle =
+      activity->PrefillPending(0) <= kIdlePrefillTokens && this->table->Targets()[index].waiting == 0;
     activity->breaker.OnDispatched(this->settings.breaker, dispatch.dispatchedAt);
     activity->OnDispatched(dispatch.dispatchedAt, dispatch.uncachedTokens, dispatch.priority);
     ++this->ownInFlight;
-    this->everywhere.OnDispatched(dispatch.dispatchedAt, 0, dispatch.priority);
+    this->totalActivity.OnDispatched(dispatch.dispatchedAt, 0, dispatch.priority);
   }
   this->prefixes.OnDispatched(target.key, aRequest.prefixBlocks);
   return dispatch;
@@ -62,7 +62,7 @@
     if (activity != nullptr) {
       activity->OnFirstToken(aDispatch.uncachedTokens, aDispatch.priority);
     }
-    if (aDispatch.ranIdle) {
+    if (aDispatch.endpointWasIdle) {
       const double seconds =
         ToSeconds(now - aDispatch.dispatchedAt) - this->settings.networkSeconds;
       this->speed.ObservePrefill(aDispatch.speedIndex, aDispatch.uncachedTokens,
@@ -70,7 +70,7 @@
     }
   } else if (activity != nullptr) {
     const auto index = static_cast<std::uint32_t>(activity - this->activities.data());
-    const double running = std::min<double>(this->SequencesAt(index, 1),
+    const double running = std::min<double>(this->EstimatedSequences(index, 1),
                                             this->speed.Get(aDispatch.speedIndex).sequences);
     this->speed.ObserveStep(aDispatch.speedIndex, running, ToSeconds(now - aDispatch.lastToken));
   }
@@ -94,10 +94,10 @@
     const auto index = static_cast<std::uint32_t>(activity - this->activities.data());
     this->speed.ObserveTokens(
       aDispatch.speedIndex, now,
-      this->SequencesAt(index, this->PeerFactor(this->table->Targets()[index])),
-      ToSeconds(now - aDispatch.sampleFrom) / aDispatch.sampleTokens);
+      this->EstimatedSequences(index, this->PeerFactor(this->table->Targets()[index])),
+      ToSeconds(now - aDispatch.sampleStart) / aDispatch.sampleTokens);
   }
-  aDispatch.sampleFrom = now;
+  aDispatch.sampleStart = now;
   aDispatch.sampleTokens = 0;
   this->RefreshSpeed(now);
 }
@@ -105,7 +105,7 @@
 void
 Router::RefreshSpeed(TimePoint aNow)
 {
-  if (aNow >= this->speedRefreshedAt + kSpeedPace) {
+  if (aNow >= this->speedRefreshedAt + kSpeedRefreshInterval) {
     this->speedRefreshedAt = aNow;
     this->speed.Refresh(aNow);
   }
@@ -129,9 +129,9 @@
   }
   if (aDispatch.isPlainCall && aOutcome != DispatchOutcome::Cancelled) {
     const double seconds = ToSeconds(now - aDispatch.dispatchedAt);
-    const bool isWhole = aOutcome == DispatchOutcome::Completed;
-    activity->OnCallEnded(seconds, isWhole);
-    this->everywhere.OnCallEnded(seconds, isWhole);
+    const bool hasSucceeded = aOutcome == DispatchOutcome::Completed;
+    activity->OnCallEnded(seconds, hasSucceeded);
+    this->totalActivity.OnCallEnded(seconds, hasSucceeded);
   }
   activity->OnFinished(now);
   this->ownInFlight = std::max(this->ownInFlight - 1, 0);
@@ -166,7 +166,7 @@
   if (!group) {
     return 0;
   }
-  double taken = 0;
+  double occupied = 0;
   double places = 0;
   for (const std::uint32_t target : group.value()->targets) {
     const RoutingTarget& each = this->table->Targets()[target];
@@ -174,12 +174,12 @@
     if (std::find(excluded.begin(), excluded.end(), each.id) != excluded.end()) {
       continue;
     }
-    taken += this->SequencesAt(target, this->PeerFactor(each));
+    occupied += this->EstimatedSequences(target, this->PeerFactor(each));
     // What an endpoint says of itself goes before what is assumed of its class
     places += each.sequences > 0 ? each.sequences
                                  : this->speed.Get(this->speedIndices[each.machineClass]).sequences;
   }
-  return places > 0 ? taken / places : 0;
+  return places > 0 ? occupied / places : 0;
 }
 
 std::vector<EndpointCount>
@@ -231,7 +231,7 @@
   }
   // A step's base is shared by those that run beside the request
   places = std::max(places, 1.0);
-  const double call = std::max(this->everywhere.CallCost(), 0.0);
+  const double call = std::max(this->totalActivity.ExpectedCallSeconds(), 0.0);
   return aWork.promptTokens * known.prefillSecondsPerToken +
          aWork.outputTokens * (known.stepPerSequenceSeconds + known.stepBaseSeconds / places) +
          aWork.calls * call / places;
@@ -256,7 +256,7 @@
 {
   const std::lock_guard lock(this->mutex);
   for (const SpeedReport& report : aReports) {
-    this->speed.OnTold(aSource, report, this->clock.Now());
+    this->speed.OnPeerReport(aSource, report, this->clock.Now());
   }
 }
 
--- a/Lagoonward/Routing/RoutingSettings.h
+++ b/Lagoonward/Routing/RoutingSettings.h
@@ -18,7 +18,7 @@
   double stepPerSequenceSeconds = 0.0008;
   double sequences = 24;            ///< Sequences that an engine runs at once; more have to wait.
   double learningRate = 0.02;       ///< Share of one observation's error that is corrected.
-  double range = 8;                 ///< Learned values stay within prior / range and prior * range.
+  double maxPriorRatio = 8;                 ///< Learned values stay within prior / range and prior * range.
   double serviceCallSeconds = 0.02; ///< How long a plain service's call takes.
 
   /// Endpoints that tell no load are learned from the fastest of their answers instead of from each one's error.
@@ -88,7 +88,7 @@
   bool ranksPreempt = true;
 
   /// How long what the other daemons told of their requests in flight is believed.
-  Milliseconds peerLoadMemory{ 2000 };
+  Milliseconds peerLoadRetention{ 2000 };
 
   /// Part by which the price of answer time is varied at random, so that daemons that see the same do not all
   /// choose the same endpoint.
@@ -115,10 +115,10 @@
   double recomputedTokenWorth = 40;
 
   /// Fewest tokens of a kept prompt that are worth fetching from another endpoint instead of reading them again...
-  double fewestFetched = 1024;
+  double minFetchedTokens = 1024;
 
   /// ...and the largest part of the reading's time that the fetching may take.
-  double fetchPart = 0.6;
+  double maxFetchTimeRatio = 0.6;
 
   /// Recent uses of a prefix, over all daemons, that halve the charge for one more copy.
   double hotUses = 6;
--- a/Lagoonward/Routing/RoutingTable.cpp
+++ b/Lagoonward/Routing/RoutingTable.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr int kHighestRank = 3;
+constexpr int kMaxRank = 3;
 constexpr double kSecondsPerHour = 3600;
 
 std::uint64_t
@@ -103,15 +103,15 @@
   target.pricePerSecond = perHour / kSecondsPerHour;
   target.asOf = aClock.Now();
   target.sequences = aEndpoint.sequences;
-  target.reports = aEndpoint.load.has_value();
+  target.reportsLoad = aEndpoint.load.has_value();
   if (aEndpoint.load) {
     target.waiting = aEndpoint.load->waiting;
     target.running = aEndpoint.load->running;
     target.asOf = ToSteady(aEndpoint.load->asOf, aClock);
   }
-  this->going.resize(this->failureDomains.size(), 0);
+  this->leavingDomains.resize(this->failureDomains.size(), 0);
   if (aEndpoint.state == EndpointState::Leaving) {
-    this->going[target.failureDomain] = 1;
+    this->leavingDomains[target.failureDomain] = 1;
   }
   this->targets.push_back(std::move(target));
 }
@@ -176,9 +176,9 @@
     std::sort(group.targets.begin(), group.targets.end(), cheaper);
     group.targets.erase(std::unique(group.targets.begin(), group.targets.end()),
                         group.targets.end());
-    group.members.assign(this->targets.size(), 0);
+    group.isMember.assign(this->targets.size(), 0);
     for (const std::uint32_t target : group.targets) {
-      group.members[target] = 1;
+      group.isMember[target] = 1;
       for (int point = 0; point < aSettings.ringPoints; ++point) {
         const auto position =
           CombineHashes(this->targets[target].key, static_cast<std::uint64_t>(point));
@@ -243,7 +243,7 @@
 RoutingTable::RankOf(int aPriority) const
 {
   const auto place = std::lower_bound(this->priorities.begin(), this->priorities.end(), aPriority);
-  return std::min(static_cast<int>(place - this->priorities.begin()), kHighestRank);
+  return std::min(static_cast<int>(place - this->priorities.begin()), kMaxRank);
 }
 
 } // namespace lagoonward
--- a/Lagoonward/Routing/RoutingTable.h
+++ b/Lagoonward/Routing/RoutingTable.h
@@ -24,7 +24,7 @@
   double pricePerSecond = 0;
   int sequences = 0; ///< That it runs at once, as it says itself; zero where it does not.
   double fetchSecondsPerToken = 0; ///< See Endpoint.
-  bool reports = false; ///< Whether it tells its load; else only own dispatches are known.
+  bool reportsLoad = false; ///< Whether it tells its load; else only own dispatches are known.
   int waiting = 0;      ///< As reported.
   int running = 0;      ///< As reported.
   TimePoint asOf;       ///< When the report was taken, on this daemon's clock.
@@ -44,9 +44,9 @@
   std::uint64_t key = 0;
   std::vector<std::uint32_t> targets; ///< Live ones, cheapest first.
   std::vector<RingPoint> ring;        ///< Sorted by position.
-  std::vector<char> members;          ///< For each target of the table.
+  std::vector<char> isMember;          ///< For each target of the table.
 
-  [[nodiscard]] bool Has(std::uint32_t aTarget) const { return this->members[aTarget] != 0; }
+  [[nodiscard]] bool Contains(std::uint32_t aTarget) const { return this->isMember[aTarget] != 0; }
 };
 
 /// How a table is built.
@@ -80,7 +80,7 @@
   [[nodiscard]] std::span<const std::string> FailureDomains() const { return this->failureDomains; }
 
   /// Whether hosts of that failure domain are leaving.
-  [[nodiscard]] bool IsGoing(std::uint16_t aDomain) const { return this->going[aDomain] != 0; }
+  [[nodiscard]] bool IsLeaving(std::uint16_t aDomain) const { return this->leavingDomains[aDomain] != 0; }
 
   /// Rank of a priority among those of the manifest's classes, 0 the lowest, at most 3.
   [[nodiscard]] int RankOf(int aPriority) const;
@@ -99,7 +99,7 @@
   std::vector<RoutingGroup> groups; ///< Sorted by key.
   std::vector<std::string> machineClasses;
   std::vector<std::string> failureDomains;
-  std::vector<char> going;     ///< For each failure domain.
+  std::vector<char> leavingDomains;     ///< For each failure domain.
   std::vector<int> priorities; ///< Distinct ones of the manifest's classes, ascending.
   std::vector<ManifestModel> models;
   double meanPricePerSecond = 0;
--- a/Lagoonward/Routing/SpeedEnvelope.cpp
+++ b/Lagoonward/Routing/SpeedEnvelope.cpp
@@ -9,10 +9,10 @@
 
 /// The value below which a part of the values lies. The values are reordered; there must be some.
 double
-Quantile(std::vector<double>& aValues, double aPart)
+Quantile(std::vector<double>& aValues, double aFraction)
 {
   const auto last = static_cast<double>(aValues.size() - 1);
-  const auto place = aValues.begin() + static_cast<std::ptrdiff_t>(aPart * last);
+  const auto place = aValues.begin() + static_cast<std::ptrdiff_t>(aFraction * last);
   std::nth_element(aValues.begin(), place, aValues.end());
   return *place;
 }
@@ -25,17 +25,17 @@
 }
 
 void
-SpeedEnvelope::Ring::Add(const Sample& aSample)
+SpeedEnvelope::SampleRing::Add(const Sample& aSample)
 {
-  this->samples[this->count % kKept] = aSample;
+  this->samples[this->count % kMaxSamples] = aSample;
   ++this->count;
 }
 
 std::vector<SpeedEnvelope::Sample>
-SpeedEnvelope::Ring::Since(TimePoint aFrom) const
+SpeedEnvelope::SampleRing::Since(TimePoint aFrom) const
 {
   std::vector<Sample> recent;
-  const auto kept = static_cast<std::ptrdiff_t>(std::min(this->count, kKept));
+  const auto kept = static_cast<std::ptrdiff_t>(std::min(this->count, kMaxSamples));
   std::copy_if(this->samples.begin(), this->samples.begin() + kept, std::back_inserter(recent),
                [&](const Sample& aSample) { return aSample.at >= aFrom; });
   return recent;
@@ -44,7 +44,7 @@
 void
 SpeedEnvelope::OnPrompt(TimePoint aNow, int aFreshTokens, double aSeconds)
 {
-  if (aFreshTokens >= this->settings.shortestPrompt && aSeconds > 0) {
+  if (aFreshTokens >= this->settings.minPromptTokens && aSeconds > 0) {
     this->prompts.Add({ aNow, static_cast<double>(aFreshTokens), aSeconds });
   }
 }
@@ -67,7 +67,7 @@
 SpeedEnvelope::PromptTokensPerSecond(TimePoint aNow, double aStepSeconds) const
 {
   std::vector<Sample> recent = this->prompts.Since(aNow - this->settings.window);
-  if (recent.size() < this->settings.fewest) {
+  if (recent.size() < this->settings.minSamples) {
     return std::nullopt;
   }
   // The longer half: the shorter a prompt, the more of its time is something else
@@ -78,9 +78,9 @@
   std::vector<double> speeds;
   for (const Sample& sample : std::span(middle, recent.end())) {
     // A reading cannot take less than a small part of the whole, whatever the step is believed to take
-    constexpr double kLeastPart = 0.2;
-    const double reading = std::max(sample.seconds - aStepSeconds, sample.seconds * kLeastPart);
-    speeds.push_back(sample.size / reading);
+    constexpr double kMinPrefillFraction = 0.2;
+    const double prefillSeconds = std::max(sample.seconds - aStepSeconds, sample.seconds * kMinPrefillFraction);
+    speeds.push_back(sample.size / prefillSeconds);
   }
   return Quantile(speeds, this->settings.promptQuantile);
 }
@@ -89,7 +89,7 @@
 SpeedEnvelope::Steps(TimePoint aNow) const
 {
   std::vector<Sample> recent = this->steps.Since(aNow - this->settings.window);
-  if (recent.size() < this->settings.fewest) {
+  if (recent.size() < this->settings.minSamples) {
     return std::nullopt;
   }
   std::sort(recent.begin(), recent.end(),
@@ -101,7 +101,7 @@
     double sequences = 0;
     double seconds = 0;
   };
-  const auto describe = [&](std::span<const Sample> aSamples) {
+  const auto summarize = [&](std::span<const Sample> aSamples) {
     Half half;
     std::vector<double> seconds;
     for (const Sample& sample : aSamples) {
@@ -112,16 +112,16 @@
     return half;
   };
   const std::span<const Sample> all(recent);
-  const Half small = describe(all.first(all.size() / 2));
-  const Half large = describe(all.subspan(all.size() / 2));
+  const Half small = summarize(all.first(all.size() / 2));
+  const Half large = summarize(all.subspan(all.size() / 2));
   const double contrast = large.sequences - small.sequences;
-  double growth = this->settings.usualGrowth;
-  if (contrast >= this->settings.batchContrast) {
+  double growth = this->settings.defaultGrowth;
+  if (contrast >= this->settings.minBatchContrast) {
     const double perSequence = (large.seconds - small.seconds) / contrast;
     const double base = small.seconds - perSequence * small.sequences;
-    growth = base > 0 ? perSequence / base : this->settings.largestGrowth;
+    growth = base > 0 ? perSequence / base : this->settings.maxGrowth;
   }
-  growth = std::clamp(growth, 0.0, this->settings.largestGrowth);
+  growth = std::clamp(growth, 0.0, this->settings.maxGrowth);
   StepTimes times;
   times.base = small.seconds / (1 + growth * small.sequences);
   times.perSequence = times.base * growth;
--- a/Lagoonward/Routing/SpeedEnvelope.h
+++ b/Lagoonward/Routing/SpeedEnvelope.h
@@ -23,28 +23,28 @@
   double stepQuantile = 0.1;
 
   Seconds window{ 10 };     ///< Older answers no longer count: a change shows within this time.
-  std::size_t fewest = 12;  ///< Answers without which nothing is concluded.
-  int shortestPrompt = 256; ///< Prompt tokens below which the way there and back hides the reading.
-  double usualGrowth =
+  std::size_t minSamples = 12;  ///< Answers without which nothing is concluded.
+  int minPromptTokens = 256; ///< Prompt tokens below which the way there and back hides the reading.
+  double defaultGrowth =
     0.01; ///< Part by which each sequence lengthens a step, until batches of different sizes show it.
-  double batchContrast =
+  double minBatchContrast =
     4; ///< Sequences by which two halves of the batches must differ to show it.
-  double largestGrowth = 0.1; ///< Bound of that part.
+  double maxGrowth = 0.1; ///< Bound of that part.
 
   /// How fast a conclusion is followed, as a time constant: one of a faster engine soon, as nothing but a faster engine
   /// shows it; one of a slower engine later, and much later while its steps take as long as before: then it is
   /// busy rather than slow. In a wave that all endpoints were too few for, 35 tokens/ms came down to 5 for ten seconds.
-  Milliseconds fasterAfter{ 1'000 };
-  Milliseconds slowerAfter{ 2'000 };
-  Milliseconds busyAfter{ 60'000 };
-  double busiestReading =
+  Milliseconds speedUpTimeConstant{ 1'000 };
+  Milliseconds slowDownTimeConstant{ 2'000 };
+  Milliseconds busyTimeConstant{ 60'000 };
+  double maxBusyPrefillGrowth =
     1.5; ///< Most by which a busy engine's reading is taken to have grown at once.
 
   /// What another daemon has told counts for so long.
-  Seconds toldMemory{ 5 };
+  Seconds peerReportRetention{ 5 };
 
   /// Part by which each running sequence lengthens the reading of a prompt, as both share the steps.
-  double besidePart = 0.03;
+  double prefillGrowthPerSequence = 0.03;
 };
 
 /// Times of decode steps: `base + perSequence * sequences`, in seconds.
@@ -84,7 +84,7 @@
   [[nodiscard]] std::size_t CountPrompts(TimePoint aNow) const;
 
 private:
-  static constexpr std::size_t kKept = 256;
+  static constexpr std::size_t kMaxSamples = 256;
 
   struct Sample
   {
@@ -94,9 +94,9 @@
   };
 
   /// The newest samples, overwritten in turn.
-  struct Ring
+  struct SampleRing
   {
-    std::array<Sample, kKept> samples{};
+    std::array<Sample, kMaxSamples> samples{};
     std::size_t count = 0;
 
     void Add(const Sample& aSample);
@@ -104,8 +104,8 @@
   };
 
   SpeedEnvelopeSettings settings;
-  Ring prompts;
-  Ring steps;
+  SampleRing prompts;
+  SampleRing steps;
 };
 
 } // namespace lagoonward
--- a/Lagoonward/Routing/SpeedModel.cpp
+++ b/Lagoonward/Routing/SpeedModel.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /// Shorter prompts say more about queues and networks than about prefill.
-constexpr int kShortestPrompt = 512;
+constexpr int kMinPromptTokens = 512;
 
 /// Scales the batch so that both terms of a step weigh alike in the correction.
 constexpr double kTypicalBatch = 16;
@@ -86,16 +86,16 @@
 }
 
 double
-SpeedModel::Bounded(double aValue, double aPrior) const
+SpeedModel::ClampToPrior(double aValue, double aPrior) const
 {
-  return std::clamp(aValue, aPrior / this->priors.range, aPrior * this->priors.range);
+  return std::clamp(aValue, aPrior / this->priors.maxPriorRatio, aPrior * this->priors.maxPriorRatio);
 }
 
 void
 SpeedModel::ObservePrefill(std::size_t aIndex, int aUncachedTokens, double aSequences,
                            double aSeconds)
 {
-  if (aUncachedTokens < kShortestPrompt || aSeconds <= 0) {
+  if (aUncachedTokens < kMinPromptTokens || aSeconds <= 0) {
     return;
   }
   MachineSpeed& speed = this->classes[aIndex].speed;
@@ -103,8 +103,8 @@
   const double error = aSeconds / aUncachedTokens - speed.PrefillSeconds(aSequences);
   const double step = this->priors.learningRate * error / (1 + batch * batch);
   speed.prefillSecondsPerToken =
-    this->Bounded(speed.prefillSecondsPerToken + step, 1 / this->priors.prefillTokensPerSecond);
-  speed.prefillPerSequence = this->Bounded(speed.prefillPerSequence + step * batch / kTypicalBatch,
+    this->ClampToPrior(speed.prefillSecondsPerToken + step, 1 / this->priors.prefillTokensPerSecond);
+  speed.prefillPerSequence = this->ClampToPrior(speed.prefillPerSequence + step * batch / kTypicalBatch,
                                            this->priors.prefillPerSequence);
 }
 
@@ -115,9 +115,9 @@
   const double batch = std::max(aSequences, 1.0) / kTypicalBatch;
   const double error = aSeconds - speed.StepSeconds(std::max(aSequences, 1.0));
   const double step = this->priors.learningRate * error / (1 + batch * batch);
-  speed.stepBaseSeconds = this->Bounded(speed.stepBaseSeconds + step, this->priors.stepBaseSeconds);
+  speed.stepBaseSeconds = this->ClampToPrior(speed.stepBaseSeconds + step, this->priors.stepBaseSeconds);
   speed.stepPerSequenceSeconds =
-    this->Bounded(speed.stepPerSequenceSeconds + step * batch / kTypicalBatch,
+    this->ClampToPrior(speed.stepPerSequenceSeconds + step * batch / kTypicalBatch,
                   this->priors.stepPerSequenceSeconds);
 }
 
@@ -139,13 +139,13 @@
 SpeedModel::Refresh(TimePoint aNow)
 {
   for (MachineClass& each : this->classes) {
-    this->Conclude(each, aNow);
-    this->Combine(each, aNow);
+    this->UpdateLocal(each, aNow);
+    this->CombineReports(each, aNow);
   }
 }
 
 void
-SpeedModel::Conclude(MachineClass& aClass, TimePoint aNow) const
+SpeedModel::UpdateLocal(MachineClass& aClass, TimePoint aNow) const
 {
   const auto steps = aClass.envelope.Steps(aNow);
   const auto speed =
@@ -155,41 +155,41 @@
   }
   SpeedReport next{ aClass.name, 1 / *speed, steps->base, steps->perSequence,
                     static_cast<std::uint32_t>(aClass.envelope.CountPrompts(aNow)) };
-  if (aClass.own) {
+  if (aClass.local) {
     const SpeedEnvelopeSettings& settings = this->priors.envelope;
-    const auto since = ToSeconds(aNow - aClass.concludedAt);
-    const auto follow = [&](double aKnown, double aConcluded, Milliseconds aSlower) {
-      const Milliseconds constant = aConcluded < aKnown ? settings.fasterAfter : aSlower;
-      return aKnown + (1 - std::exp(-since / ToSeconds(constant))) * (aConcluded - aKnown);
+    const auto since = ToSeconds(aNow - aClass.learnedAt);
+    const auto follow = [&](double aKnown, double aMeasured, Milliseconds aSlower) {
+      const Milliseconds constant = aMeasured < aKnown ? settings.speedUpTimeConstant : aSlower;
+      return aKnown + (1 - std::exp(-since / ToSeconds(constant))) * (aMeasured - aKnown);
     };
-    const SpeedReport& known = *aClass.own;
+    const SpeedReport& known = *aClass.local;
     next.stepBaseSeconds =
-      follow(known.stepBaseSeconds, next.stepBaseSeconds, settings.slowerAfter);
+      follow(known.stepBaseSeconds, next.stepBaseSeconds, settings.slowDownTimeConstant);
     next.stepPerSequenceSeconds =
-      follow(known.stepPerSequenceSeconds, next.stepPerSequenceSeconds, settings.slowerAfter);
+      follow(known.stepPerSequenceSeconds, next.stepPerSequenceSeconds, settings.slowDownTimeConstant);
     // An engine that has become slower reads and writes slower alike; if only its reading has, it is busy
     const double growth = std::max(next.stepBaseSeconds / known.stepBaseSeconds, 1.0);
-    const double reading = known.prefillSecondsPerToken * growth;
+    const double prefillSeconds = known.prefillSecondsPerToken * growth;
     next.prefillSecondsPerToken =
-      follow(reading, std::min(next.prefillSecondsPerToken, reading * settings.busiestReading),
-             settings.busyAfter);
+      follow(prefillSeconds, std::min(next.prefillSecondsPerToken, prefillSeconds * settings.maxBusyPrefillGrowth),
+             settings.busyTimeConstant);
   }
-  aClass.own = std::move(next);
-  aClass.concludedAt = aNow;
+  aClass.local = std::move(next);
+  aClass.learnedAt = aNow;
 }
 
 void
-SpeedModel::Combine(MachineClass& aClass, TimePoint aNow) const
+SpeedModel::CombineReports(MachineClass& aClass, TimePoint aNow) const
 {
-  std::erase_if(aClass.told, [&](const auto& aTold) {
-    return aNow - aTold.second.heard > this->priors.envelope.toldMemory;
+  std::erase_if(aClass.peerReports, [&](const auto& aEntry) {
+    return aNow - aEntry.second.receivedAt > this->priors.envelope.peerReportRetention;
   });
   std::vector<const SpeedReport*> reports;
-  if (aClass.own) {
-    reports.push_back(&*aClass.own);
+  if (aClass.local) {
+    reports.push_back(&*aClass.local);
   }
-  for (const auto& [source, told] : aClass.told) {
-    reports.push_back(&told.report);
+  for (const auto& [source, peerReports] : aClass.peerReports) {
+    reports.push_back(&peerReports.report);
   }
   if (reports.empty()) {
     return;
@@ -197,7 +197,7 @@
   const SpeedReport median = MedianOfSpeeds(reports);
   MachineSpeed& speed = aClass.speed;
   speed.prefillSecondsPerToken = median.prefillSecondsPerToken;
-  speed.prefillPerSequence = speed.prefillSecondsPerToken * this->priors.envelope.besidePart;
+  speed.prefillPerSequence = speed.prefillSecondsPerToken * this->priors.envelope.prefillGrowthPerSequence;
   speed.stepBaseSeconds = median.stepBaseSeconds;
   speed.stepPerSequenceSeconds = median.stepPerSequenceSeconds;
 }
@@ -207,8 +207,8 @@
 {
   std::vector<SpeedReport> reports;
   for (const MachineClass& each : this->classes) {
-    if (each.own) {
-      reports.push_back(*each.own);
+    if (each.local) {
+      reports.push_back(*each.local);
     }
   }
   return reports;
@@ -222,14 +222,14 @@
     const MachineClass& each = this->classes[index];
     if (this->IsLearned(index)) {
       reports.push_back({ each.name, each.speed.prefillSecondsPerToken, each.speed.stepBaseSeconds,
-                          each.speed.stepPerSequenceSeconds, each.own ? each.own->prompts : 0 });
+                          each.speed.stepPerSequenceSeconds, each.local ? each.local->prompts : 0 });
     }
   }
   return reports;
 }
 
 void
-SpeedModel::OnTold(std::uint64_t aSource, const SpeedReport& aReport, TimePoint aNow)
+SpeedModel::OnPeerReport(std::uint64_t aSource, const SpeedReport& aReport, TimePoint aNow)
 {
   const auto isTime = [](double aSeconds) { return std::isfinite(aSeconds) && aSeconds > 0; };
   if (!isTime(aReport.prefillSecondsPerToken) || !isTime(aReport.stepBaseSeconds) ||
@@ -237,7 +237,7 @@
     return;
   }
   MachineClass& known = this->classes[this->IndexOf(aReport.machineClass)];
-  known.told[aSource] = { aNow, aReport };
+  known.peerReports[aSource] = { aNow, aReport };
 }
 
 void
@@ -246,10 +246,10 @@
   MachineSpeed& speed = this->classes[aIndex].speed;
   const double error = aRunning - speed.sequences;
   if (error > 0) {
-    speed.sequences = this->Bounded(aRunning, this->priors.sequences);
+    speed.sequences = this->ClampToPrior(aRunning, this->priors.sequences);
   } else if (aWaiting > 0) {
     speed.sequences =
-      this->Bounded(speed.sequences + this->priors.learningRate * error, this->priors.sequences);
+      this->ClampToPrior(speed.sequences + this->priors.learningRate * error, this->priors.sequences);
   }
 }
 
--- a/Lagoonward/Routing/SpeedModel.h
+++ b/Lagoonward/Routing/SpeedModel.h
@@ -87,7 +87,7 @@
   /// Whether the speed of a class was learned from its answers, here or by a daemon that has told of it.
   [[nodiscard]] bool IsLearned(std::size_t aIndex) const
   {
-    return this->classes[aIndex].own || !this->classes[aIndex].told.empty();
+    return this->classes[aIndex].local || !this->classes[aIndex].peerReports.empty();
   }
 
   /// What this daemon itself has learned from answers.
@@ -98,16 +98,16 @@
 
   /// Another daemon has told what it has learned, or has in use.
   /// @param aSource  names that daemon
-  void OnTold(std::uint64_t aSource, const SpeedReport& aReport, TimePoint aNow);
+  void OnPeerReport(std::uint64_t aSource, const SpeedReport& aReport, TimePoint aNow);
 
   /// A load report: an engine where requests wait is full, and one that runs more than it was thought to
   /// can run that many.
   void ObserveLoad(std::size_t aIndex, int aWaiting, int aRunning);
 
 private:
-  struct Told
+  struct PeerReport
   {
-    TimePoint heard;
+    TimePoint receivedAt;
     SpeedReport report;
   };
 
@@ -116,17 +116,17 @@
     std::string name;
     MachineSpeed speed; ///< In use.
     SpeedEnvelope envelope;
-    std::optional<SpeedReport> own;     ///< As this daemon has learned it.
-    TimePoint concludedAt;              ///< When it was last learned.
-    std::map<std::uint64_t, Told> told; ///< By daemon.
+    std::optional<SpeedReport> local;     ///< As this daemon has learned it.
+    TimePoint learnedAt;              ///< When it was last learned.
+    std::map<std::uint64_t, PeerReport> peerReports; ///< By daemon.
   };
 
   /// Follows what the answers seen here show now.
-  void Conclude(MachineClass& aClass, TimePoint aNow) const;
+  void UpdateLocal(MachineClass& aClass, TimePoint aNow) const;
   /// Brings own and told together.
-  void Combine(MachineClass& aClass, TimePoint aNow) const;
+  void CombineReports(MachineClass& aClass, TimePoint aNow) const;
 
-  [[nodiscard]] double Bounded(double aValue, double aPrior) const;
+  [[nodiscard]] double ClampToPrior(double aValue, double aPrior) const;
 
   SpeedPriors priors;
   std::vector<MachineClass> classes;
--- a/UnitTests/Routing/HedgePolicyTests.cpp
+++ b/UnitTests/Routing/HedgePolicyTests.cpp
@@ -14,7 +14,7 @@
   state.dispatchedAt = TimePoint(Seconds(100));
   state.deadline = TimePoint(Seconds(110));
   state.firstTokenSeconds = 1;
-  state.wholeSeconds = 4;
+  state.secondAttemptSeconds = 4;
   BOOST_TEST(!ShouldHedge(state, TimePoint(Seconds(103)), settings)); // overdue, but time is left
   BOOST_TEST(ShouldHedge(state, TimePoint(Seconds(105)), settings));
   BOOST_TEST(!ShouldHedge(state, TimePoint(Seconds(107)), settings)); // could not make it either
--- a/UnitTests/Routing/PrefixIndexTests.cpp
+++ b/UnitTests/Routing/PrefixIndexTests.cpp
@@ -29,7 +29,7 @@
   [[nodiscard]] std::map<std::uint32_t, double> Find() const
   {
     std::array<PrefixHolder, 8> holders;
-    const std::size_t count = this->index.Find(this->blocks, holders).holders;
+    const std::size_t count = this->index.Find(this->blocks, holders).holderCount;
     std::map<std::uint32_t, double> found;
     for (std::size_t each = 0; each < count; ++each) {
       found[holders[each].tag] = holders[each].tokens;
@@ -60,7 +60,7 @@
   this->index.OnEvicted(11, this->blocks);
   BOOST_TEST(this->Find().empty());
   this->index.OnStored(11, this->blocks);
-  this->index.OnGone(11);
+  this->index.OnReset(11);
   BOOST_TEST(this->Find().empty());
   this->index.OnStored(21, this->blocks);
   this->clock.Advance(this->settings.maxAge + Seconds(1));
@@ -86,8 +86,8 @@
     this->clock.Advance(Seconds(1));
   }
   std::array<PrefixHolder, 8> holders;
-  BOOST_TEST(small.Find(MakeBlocks(16, 0), holders).holders == 0U);
-  BOOST_TEST(small.Find(MakeBlocks(16, 99000), holders).holders == 1U);
+  BOOST_TEST(small.Find(MakeBlocks(16, 0), holders).holderCount == 0U);
+  BOOST_TEST(small.Find(MakeBlocks(16, 99000), holders).holderCount == 1U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/UnitTests/Routing/RouterTests.cpp
+++ b/UnitTests/Routing/RouterTests.cpp
@@ -81,7 +81,7 @@
   const auto choice = this->router.Choose(this->Request());
   BOOST_REQUIRE(choice.has_value());
   BOOST_TEST(choice.value().Target().id == "a");
-  BOOST_TEST(choice.value().considered == 2);
+  BOOST_TEST(choice.value().scoredEndpoints == 2);
   BOOST_TEST(choice.value().Describe().find("endpoint a in north") == 0U);
 }
 
--- a/UnitTests/Routing/SpeedEnvelopeTests.cpp
+++ b/UnitTests/Routing/SpeedEnvelopeTests.cpp
@@ -154,13 +154,13 @@
 {
   VirtualClock clock;
   SpeedModel model({});
-  model.OnTold(1, { "engines", 1.0 / 30'000, 0.005, 0.0001, 50 }, clock.Now());
-  model.OnTold(2, { "engines", 1.0 / 33'000, 0.006, 0.0001, 50 }, clock.Now());
+  model.OnPeerReport(1, { "engines", 1.0 / 30'000, 0.005, 0.0001, 50 }, clock.Now());
+  model.OnPeerReport(2, { "engines", 1.0 / 33'000, 0.006, 0.0001, 50 }, clock.Now());
   // One that errs does not decide
-  model.OnTold(3, { "engines", 1.0 / 500'000, 0.006, 0.0001, 50 }, clock.Now());
+  model.OnPeerReport(3, { "engines", 1.0 / 500'000, 0.006, 0.0001, 50 }, clock.Now());
   // What no engine can be is not believed
-  model.OnTold(4, { "engines", 0, 0.006, 0.0001, 50 }, clock.Now());
-  model.OnTold(5, { "engines", 1.0 / 30'000, -1, 0.0001, 50 }, clock.Now());
+  model.OnPeerReport(4, { "engines", 0, 0.006, 0.0001, 50 }, clock.Now());
+  model.OnPeerReport(5, { "engines", 1.0 / 30'000, -1, 0.0001, 50 }, clock.Now());
   model.Refresh(clock.Now());
   const std::size_t index = model.IndexOf("engines");
   BOOST_TEST(model.IsLearned(index));
