--- a/Lagoonward/Routing/CircuitBreaker.cpp
+++ b/Lagoonward/Routing/CircuitBreaker.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Doublings beyond which the pause would overflow; the longest pause is reached long before.
+/// Limits the doublings so that the open duration does not overflow. maxOpenFor is reached with far fewer.
 constexpr int kMaxDoublings = 20;
 
 } // namespace
@@ -43,7 +43,8 @@
 Milliseconds
 CircuitBreaker::OpenDuration(const CircuitBreakerSettings& aSettings) const
 {
-  const int doublings = std::min(this->consecutiveFailures - aSettings.failuresToOpen, kMaxDoublings);
+  const int doublings =
+    std::min(this->consecutiveFailures - aSettings.failuresToOpen, kMaxDoublings);
   return std::min<Milliseconds>(aSettings.openFor * (1LL << doublings), aSettings.maxOpenFor);
 }
 
--- a/Lagoonward/Routing/CircuitBreaker.h
+++ b/Lagoonward/Routing/CircuitBreaker.h
@@ -4,17 +4,17 @@
 
 namespace lagoonward {
 
-/// Keeps requests from an endpoint that keeps failing. After some failures in a row it opens for a
-/// while, then lets one trial through: success closes it, failure opens it for twice as long.
-/// Not thread-safe.
+/// Circuit breaker of one endpoint. CircuitBreakerSettings::failuresToOpen consecutive failures open it: no request
+/// is sent for openFor. Then it is half open and lets one trial request through: success closes it, failure opens it
+/// for twice as long, up to maxOpenFor. Not thread-safe.
 class CircuitBreaker
 {
 public:
-  /// Whether a request may go there now.
+  /// Whether a request may be sent to the endpoint at aNow.
   [[nodiscard]] bool Allows(const CircuitBreakerSettings& aSettings, TimePoint aNow) const;
 
-  /// A request was sent. While half open it is the trial, and no other goes until its outcome, or
-  /// until the pause has passed again.
+  /// Records that a request was sent. While the breaker is half open this is the trial request: no other is let
+  /// through until its outcome is known or the open duration has passed again.
   void OnDispatched(const CircuitBreakerSettings& aSettings, TimePoint aNow);
 
   void OnSuccess();
@@ -23,8 +23,9 @@
 private:
   [[nodiscard]] Milliseconds OpenDuration(const CircuitBreakerSettings& aSettings) const;
 
-  int consecutiveFailures = 0;    ///< In a row.
-  TimePoint openUntil; ///< No request before, once `failures` has reached the limit.
+  int consecutiveFailures = 0;
+  /// No request is let through before this time once the failure limit is reached.
+  TimePoint openUntil;
 };
 
 } // namespace lagoonward
--- a/Lagoonward/Routing/EndpointActivity.cpp
+++ b/Lagoonward/Routing/EndpointActivity.cpp
@@ -6,10 +6,11 @@
 
 namespace {
 
-/// Weight of the newest plain call: the last twenty or so count.
+/// Weight of the newest plain call in the moving averages, which cover about the last 20 calls.
 constexpr double kCallAverageWeight = 0.05;
 
-/// Bounds how much an endpoint that fails all calls is avoided, so that its recovery shows.
+/// Lower bound of the success rate in ExpectedCallSeconds(). An endpoint that fails all calls still gets some, so that
+/// its recovery is detected.
 constexpr double kMinSuccessRate = 0.2;
 
 } // namespace
@@ -24,7 +25,7 @@
 int
 EndpointActivity::RecentEvents::CountSince(TimePoint aSince) const
 {
-  // Times only grow, so the first that the report covers, going back, is found by halving
+  // The times ascend, so a binary search backwards finds the newest event that is not after aSince
   std::size_t newer = 0;
   std::size_t covered = kRecentEvents + 1;
   while (newer + 1 < covered) {
@@ -77,7 +78,7 @@
 double
 EndpointActivity::ExpectedCallSeconds() const
 {
-  // A failed call costs its caller more than the time to try again
+  // The cube of the success rate: a failed call costs the caller more than the time of the retry
   const double successRate = std::max(1 - this->callFailureRate, kMinSuccessRate);
   return this->callSeconds / (successRate * successRate * successRate);
 }
--- a/Lagoonward/Routing/EndpointActivity.h
+++ b/Lagoonward/Routing/EndpointActivity.h
@@ -7,12 +7,13 @@
 
 namespace lagoonward {
 
-/// What this daemon itself has sent to one endpoint and got back, kept across snapshots. Load reports lag: whatever
-/// was dispatched since a report was taken has to be added to it. Not thread-safe.
+/// Requests of this daemon at one endpoint: dispatches, finishes, pending prefill, call times and failures. Kept across
+/// fleet snapshots. Load reports lag, so requests dispatched after a report was taken must be added to its figures.
+/// Not thread-safe.
 class EndpointActivity
 {
 public:
-  static constexpr int kPriorityLevels = 8; ///< Engine priorities that are told apart; see RouteScore.h.
+  static constexpr int kPriorityLevels = 8; ///< Number of engine priorities; see EnginePriority().
 
   EndpointActivity() = default;
   EndpointActivity(std::uint64_t aKey, TimePoint aFirstSeen);
@@ -21,26 +22,27 @@
   void OnFirstToken(int aUncachedTokens, int aPriority);
   void OnFinished(TimePoint aNow);
 
-  /// Dispatches less finishes since that moment. Exact for the last kRecentEvents of each.
+  /// Dispatches minus finishes after aSince. Exact for the last kRecentEvents of each.
   [[nodiscard]] int InFlightChangeSince(TimePoint aSince) const;
 
-  /// Dispatches since that moment, kRecentEvents at most.
+  /// Dispatches after aSince, at most kRecentEvents.
   [[nodiscard]] int DispatchedSince(TimePoint aSince) const;
 
-  /// Prompt tokens sent whose first token has not come, of that engine priority and above.
+  /// Uncached prompt tokens of requests without a first token yet, at engine priority aPriority and above.
   [[nodiscard]] int PrefillPending(int aPriority) const;
 
   [[nodiscard]] std::uint64_t Key() const { return this->key; }
   [[nodiscard]] TimePoint FirstSeen() const { return this->firstSeen; }
   [[nodiscard]] int InFlight() const { return this->inFlight; }
 
-  /// Notes how a plain call ended, for ExpectedCallSeconds().
+  /// Records the result of a plain call for ExpectedCallSeconds().
   void OnCallEnded(double aSeconds, bool aSucceeded);
 
-  /// Seconds that a plain call is expected to take there, failed ones tried again; zero while unknown.
+  /// Expected seconds of a plain call at this endpoint, with a penalty for failed calls, which have to be retried.
+  /// Zero while no call has succeeded.
   [[nodiscard]] double ExpectedCallSeconds() const;
 
-  /// Requests that the other daemons had in flight there when they last told.
+  /// Requests that the other daemons have in flight at the endpoint, as of their last report.
   void OnPeersInFlight(int aCount) { this->peersInFlight = aCount; }
   [[nodiscard]] int PeersInFlight() const { return this->peersInFlight; }
 
@@ -49,7 +51,7 @@
 private:
   static constexpr std::size_t kRecentEvents = 32;
 
-  /// Times of the last events, overwritten in turn.
+  /// Ring buffer of the times of the last kRecentEvents events.
   struct RecentEvents
   {
     std::array<TimePoint, kRecentEvents> times{};
@@ -63,8 +65,8 @@
   TimePoint firstSeen;
   int inFlight = 0;
   int peersInFlight = 0;
-  double callSeconds = 0;                    ///< Averaged; zero before the first.
-  double callFailureRate = 0;                   ///< Averaged part of calls that failed.
+  double callSeconds = 0;     ///< Moving average over successful calls; zero before the first.
+  double callFailureRate = 0; ///< Moving average of the fraction of calls that failed.
   std::array<int, kPriorityLevels> prefillPending{}; ///< Tokens, by engine priority.
   RecentEvents dispatched;
   RecentEvents finished;
--- a/Lagoonward/Routing/EngineWork.h
+++ b/Lagoonward/Routing/EngineWork.h
@@ -6,12 +6,12 @@
 
 namespace lagoonward {
 
-/// What callers ask of one service's endpoints, in units that hold whatever the endpoints' speed.
+/// Amount of work requested from the endpoints of one service, in units that do not depend on endpoint speed.
 struct EngineWork
 {
-  double promptTokens = 0; ///< To be read: those that are not expected in a cache.
-  double outputTokens = 0; ///< To be made.
-  double calls = 0;        ///< Of plain services.
+  double promptTokens = 0; ///< Prompt tokens that are not expected in a prefix cache.
+  double outputTokens = 0; ///< Tokens to be generated.
+  double calls = 0;        ///< Calls of plain services.
 
   EngineWork& operator+=(const EngineWork& aOther)
   {
@@ -41,7 +41,7 @@
   return { aWork.promptTokens * aFactor, aWork.outputTokens * aFactor, aWork.calls * aFactor };
 }
 
-/// Work by service.
+/// Work by service name.
 using WorkByService = std::map<std::string, EngineWork, std::less<>>;
 
 } // namespace lagoonward
--- a/Lagoonward/Routing/HedgePolicy.cpp
+++ b/Lagoonward/Routing/HedgePolicy.cpp
@@ -17,7 +17,7 @@
 bool
 ShouldHedge(const HedgeState& aState, TimePoint aNow, const HedgeSettings& aSettings)
 {
-  // Too late for a second attempt is too late to spend an endpoint's time on it
+  // A second attempt that is predicted to miss the deadline would only waste endpoint time
   return aNow >= HedgeTime(aState, aSettings) &&
          aNow + ToDuration(aState.secondAttemptSeconds) <= aState.deadline;
 }
@@ -30,7 +30,8 @@
   }
   const TimePoint overdue =
     aState.dispatchedAt + ToDuration(aState.firstTokenSeconds * aSettings.overdueFactor);
-  const TimePoint lastMoment = aState.deadline - ToDuration(aState.secondAttemptSeconds * aSettings.durationMargin);
+  const TimePoint lastMoment =
+    aState.deadline - ToDuration(aState.secondAttemptSeconds * aSettings.durationMargin);
   return std::max(overdue, lastMoment);
 }
 
--- a/Lagoonward/Routing/HedgePolicy.h
+++ b/Lagoonward/Routing/HedgePolicy.h
@@ -4,31 +4,33 @@
 
 namespace lagoonward {
 
-/// When a second attempt may run beside the first.
+/// Tunables of hedging: when a second attempt may run in parallel with the first.
 struct HedgeSettings
 {
-  double durationMargin = 1.5; ///< A second attempt must start while this times its predicted time is left.
-  double overdueFactor = 2; ///< The first must be this many times later than predicted.
+  /// The second attempt starts when its predicted duration times this is left.
+  double durationMargin = 1.5;
+  /// The first token is overdue after this many times its predicted time.
+  double overdueFactor = 2;
 };
 
-/// One attempt as the hedge policy sees it.
+/// State of a first attempt, and the predicted duration of a second one.
 struct HedgeState
 {
-  bool repeatable = false;    ///< Whether the request may run twice.
-  bool hasFirstToken = false; ///< Answers that have begun are resumed, not hedged.
+  bool repeatable = false;    ///< Whether the request may be executed twice.
+  bool hasFirstToken = false; ///< A response that has started is resumed, not hedged.
   TimePoint dispatchedAt;
   TimePoint deadline = TimePoint::max();
-  double firstTokenSeconds = 0; ///< Predicted for the first attempt.
-  double secondAttemptSeconds = 0;      ///< Predicted for a second attempt, from start to last token.
+  double firstTokenSeconds = 0;    ///< Predicted time to first token of the first attempt.
+  double secondAttemptSeconds = 0; ///< Predicted for a second attempt, from dispatch to last token.
 };
 
-/// Whether to send a second attempt to another endpoint now: only requests that may run twice, only
-/// when the first is overdue, and only at the last moment at which a second could still make the
-/// deadline. The caller then takes the hedge out of the RetryBudget.
+/// Whether to send a second attempt to another endpoint at aNow. True only for requests that may be executed twice,
+/// whose first attempt is overdue, and only in the last moments in which a second attempt can still meet the deadline.
+/// The caller then charges the hedge to the RetryBudget.
 [[nodiscard]] bool
 ShouldHedge(const HedgeState& aState, TimePoint aNow, const HedgeSettings& aSettings);
 
-/// The earliest moment at which ShouldHedge() can become true; TimePoint::max() for never.
+/// Earliest time at which ShouldHedge() can become true; TimePoint::max() if it never does.
 [[nodiscard]] TimePoint
 HedgeTime(const HedgeState& aState, const HedgeSettings& aSettings);
 
--- a/Lagoonward/Routing/InFlightBook.h
+++ b/Lagoonward/Routing/InFlightBook.h
@@ -12,22 +12,23 @@
 /// Requests in flight by endpoint key.
 using InFlightCounts = std::vector<std::pair<std::uint64_t, std::int32_t>>;
 
-/// What the daemons have in flight at endpoints, as each told last. The sum is kept up with each message, so that an
-/// answer takes time in proportion to the endpoints, however many daemons tell. Not thread-safe.
+/// Table of the requests that daemons have in flight at endpoints, as of each daemon's last report. The sums are
+/// updated with each report, so that a query takes time proportional to the number of endpoints, regardless of how many
+/// daemons report. Not thread-safe.
 class InFlightBook
 {
 public:
-  /// @param aRetention  a daemon that has been silent this long no longer counts
+  /// @param aRetention  counts of a daemon expire when it has not reported for longer than this
   InFlightBook(Milliseconds aRetention, const Clock& aClock);
 
-  /// A daemon has told.
-  /// @param aRun  names the daemon and this run of it
+  /// Replaces the counts of a daemon with those of its latest report.
+  /// @param aRun  identifies the daemon process: the daemon and its current run
   void OnCounts(std::uint64_t aRun, InFlightCounts aCounts);
 
-  /// The sum over all but one run.
+  /// Sums over all runs except aRun.
   [[nodiscard]] InFlightCounts SumOfOthers(std::uint64_t aRun);
 
-  /// The sum over all.
+  /// Sums over all runs.
   [[nodiscard]] InFlightCounts Sum();
 
 private:
@@ -44,7 +45,8 @@
   Milliseconds retention;
   const Clock& clock;
   std::map<std::uint64_t, RunCounts> runs;
-  std::map<std::uint64_t, std::int32_t> sums; ///< By endpoint, over `runs`; without zeros.
+  /// Sum over `runs` by endpoint key; zero sums are removed.
+  std::map<std::uint64_t, std::int32_t> sums;
 };
 
 } // namespace lagoonward
--- a/Lagoonward/Routing/MovePolicy.h
+++ b/Lagoonward/Routing/MovePolicy.h
@@ -4,35 +4,36 @@
 
 namespace lagoonward {
 
-/// What can be done with a stream whose host has been announced to go.
+/// Action for a stream on a host that has announced its termination.
 enum class HostExit
 {
-  FinishInPlace, ///< It is done before the host goes.
-  Transfer,      ///< Export its KV cache, import it elsewhere: nothing is computed again.
-  Resume,        ///< Send prompt and relayed tokens elsewhere, to be read again.
+  FinishInPlace, ///< The stream ends before the host terminates.
+  Transfer,      ///< Export the KV cache and import it at another endpoint; nothing is recomputed.
+  Resume, ///< Send the prompt and the relayed tokens to another endpoint, which prefills them again.
 };
 
-/// Tunables of moves.
+/// Tunables of PlanMove().
 struct MoveSettings
 {
-  double safety = 1.3;                     ///< Predicted times count so many times over.
-  double marginSeconds = 1;                ///< Must be left when everything is done.
-  double transferTokensPerSecond = 100000; ///< KV cache that one host can send, in tokens.
-  double transferSetupSeconds = 0.05;      ///< Before each transfer.
+  double safety = 1.3; ///< Factor on predicted times.
+  /// Time that must be left before termination when the move is complete.
+  double marginSeconds = 1;
+  double transferTokensPerSecond = 100000; ///< Rate at which one host can export KV cache.
+  double transferSetupSeconds = 0.05;      ///< Fixed cost of each transfer.
 };
 
-/// One stream on a leaving host.
+/// State of one stream on a leaving host.
 struct MoveState
 {
-  double secondsLeft = 0;   ///< Until the host may be gone.
-  double tokensLeft = 0;    ///< Expected rest of the answer.
-  double stepSeconds = 0;   ///< Between two tokens there.
-  double contextTokens = 0; ///< Prompt and answer so far.
-  double laterTokens = 0;   ///< Context of the streams that will be transferred after this one.
+  double secondsLeft = 0;   ///< Time until the host may terminate.
+  double tokensLeft = 0;    ///< Expected remaining output tokens.
+  double stepSeconds = 0;   ///< Time between two tokens at the current endpoint.
+  double contextTokens = 0; ///< Prompt and output tokens so far.
+  double laterTokens = 0;   ///< Context tokens of the streams to be transferred after this one.
   bool canTransfer = false; ///< Whether the engine exports KV caches.
 };
 
-/// What to do and when to begin, counted from now.
+/// Action for one stream, and its start relative to now.
 struct HostExitPlan
 {
   HostExit kind = HostExit::FinishInPlace;
@@ -40,9 +41,10 @@
   double transferSeconds = 0;
 };
 
-/// Plans one stream's way off a leaving host. Transfers share the host's link, so each gets a slot counted back from the
-/// moment the host goes, which also lets streams generate as long as they safely can. Where the link cannot carry them all in
-/// time, the rest are resumed at once. Pure; called again on every further notice.
+/// Plans the action for one stream on a leaving host. Transfers share the host's link, so each gets a time slot counted
+/// back from the host's termination. This also lets streams generate as long as is safe. A stream that cannot be
+/// transferred in the remaining time is resumed at another endpoint. Pure function; called again on every further
+/// notice.
 [[nodiscard]] HostExitPlan
 PlanMove(const MoveState& aState, const MoveSettings& aSettings);
 
--- a/Lagoonward/Routing/PrefixIndex.cpp
+++ b/Lagoonward/Routing/PrefixIndex.cpp
@@ -71,14 +71,14 @@
 void
 PrefixIndex::OnReset(std::uint64_t aEndpointKey)
 {
-  // Entries are left to age; a tick in the future of all of them makes them void
+  // The entries are not removed but left to expire; a tick later than all of theirs invalidates them
   this->resetTicks[TagOf(aEndpointKey)] = this->CurrentTick() + 1;
   this->gapTicks.erase(TagOf(aEndpointKey));
 }
 
 void
 PrefixIndex::Record(std::uint64_t aEndpointKey, std::span<const std::uint64_t> aBlocks,
-                      bool aConfirmed)
+                    bool aConfirmed)
 {
   const auto tag = TagOf(aEndpointKey);
   const Tick now = this->CurrentTick();
@@ -88,7 +88,7 @@
     entry.uses = static_cast<float>(this->DecayedUses(entry, now) + (aConfirmed ? 0 : 1));
     entry.updated = now;
 
-    // Its own place, else a free one, else the stalest
+    // The endpoint's own slot, else an unused one, else the one with the oldest update
     Holder* slot = entry.holders.data();
     for (Holder& holder : entry.holders) {
       if (holder.tag == tag) {
@@ -161,7 +161,8 @@
 double
 PrefixIndex::DecayedUses(const Entry& aEntry, Tick aNow) const
 {
-  const double age = static_cast<double>(aNow - aEntry.updated) * kTick / this->settings.usesHalfLife;
+  const double age =
+    static_cast<double>(aNow - aEntry.updated) * kTick / this->settings.usesHalfLife;
   return aEntry.uses * std::exp2(-age);
 }
 
@@ -183,7 +184,7 @@
   const Tick now = this->CurrentTick();
   const std::size_t known = this->KnownDepth(aBlocks);
 
-  // Who knows that much, and who an eighth less, and so on
+  // Holders at the known depth, then at each eighth less
   PrefixMatch match;
   std::size_t& filled = match.holderCount;
   std::size_t previous = 0;
--- a/Lagoonward/Routing/PrefixIndex.h
+++ b/Lagoonward/Routing/PrefixIndex.h
@@ -10,74 +10,76 @@
 
 namespace lagoonward {
 
-/// One endpoint that is thought to have the beginning of a prompt in its cache.
+/// One endpoint that is expected to have a prefix of a prompt in its cache.
 struct PrefixHolder
 {
   std::uint32_t tag = 0; ///< PrefixIndex::TagOf() of the endpoint's key.
-  double tokens = 0;     ///< Expected cached tokens: matched ones times the trust in the entry.
+  double tokens = 0; ///< Expected cached tokens: matched tokens times the confidence in the entry.
 };
 
-/// What Find() found.
+/// Result of PrefixIndex::Find().
 struct PrefixMatch
 {
-  std::size_t holderCount = 0; ///< How many were filled in.
-  double uses =
-    0; ///< Own dispatches of the longest known beginning lately, decayed by half per half-life.
+  std::size_t holderCount = 0; ///< Entries written to aHolders.
+  /// Dispatches of the longest known prefix by this daemon, with exponential decay (PrefixIndexSettings::usesHalfLife).
+  double uses = 0;
 };
 
-/// What this daemon knows of the engines' prefix caches: from their cache events, which come late and
-/// with gaps, and from its own dispatches. Memory is bounded; the entries longest unused go first. A block's
-/// hash covers all blocks before it, so knowing a deep block is knowing the prefix. A wrong entry
-/// costs a prefill, never a wrong answer. Not thread-safe.
+/// Estimate of the contents of the engines' prefix caches, from their cache events, which arrive late and with gaps,
+/// and from this daemon's own dispatches. A set-associative table of bounded size; the least recently used entry of a
+/// set is evicted first. A block's hash covers all blocks before it, so an entry for a deep block implies the whole
+/// prefix. A wrong entry costs a prefill, never a wrong answer. Not thread-safe.
 class PrefixIndex
 {
 public:
   PrefixIndex(const PrefixIndexSettings& aSettings, const Clock& aClock);
 
-  /// Short name of an endpoint inside the index. Two endpoints may share one, at a chance of
-  /// n * n / 2^33; they then look cached alike.
+  /// 32-bit identifier of an endpoint inside the index. With n endpoints, two share a tag with a probability of about
+  /// n * n / 2^33; their cache contents are then not distinguished.
   [[nodiscard]] static std::uint32_t TagOf(std::uint64_t aEndpointKey)
   {
     return static_cast<std::uint32_t>(aEndpointKey) | 1U;
   }
 
-  /// The endpoint's events say that it has these blocks.
+  /// Handles cache events: the endpoint has stored these blocks.
   void OnStored(std::uint64_t aEndpointKey, std::span<const std::uint64_t> aBlocks);
 
-  /// The endpoint's events say that it no longer has them.
+  /// Handles cache events: the endpoint has evicted these blocks.
   void OnEvicted(std::uint64_t aEndpointKey, std::span<const std::uint64_t> aBlocks);
 
-  /// Events of that endpoint were missed: what was known before is trusted less.
+  /// Cache events of the endpoint were missed: the confidence in its older entries is reduced.
   void OnGap(std::uint64_t aEndpointKey);
 
-  /// A prompt of these blocks has been sent there, so they will be cached unless evicted.
+  /// A prompt of these blocks was sent to the endpoint, which will have them cached unless it evicts them.
   void OnDispatched(std::uint64_t aEndpointKey, std::span<const std::uint64_t> aBlocks);
 
-  /// The endpoint is gone or has restarted empty.
+  /// The endpoint has terminated or restarted with an empty cache: all its entries become invalid.
   void OnReset(std::uint64_t aEndpointKey);
 
-  /// Endpoints that hold the longest known beginnings of a prompt, best first per probe. Looks at a number of blocks
-  /// that grows with the logarithm of the prompt only; matches may be understated by an eighth.
+  /// Fills aHolders with the endpoints that hold the longest known prefixes of a prompt, longest prefix first. The
+  /// number of blocks examined grows with the logarithm of the prompt length; a match may be understated by an eighth.
   [[nodiscard]] PrefixMatch Find(std::span<const std::uint64_t> aBlocks,
                                  std::span<PrefixHolder> aHolders) const;
 
 private:
-  static constexpr std::size_t kHoldersPerBlock = 12; ///< Endpoints remembered per block.
-  static constexpr std::size_t kWays = 4;     ///< Places that one block may take.
+  static constexpr std::size_t kHoldersPerBlock = 12; ///< Endpoints stored per block.
+  /// Associativity: entries in which one block may be stored.
+  static constexpr std::size_t kWays = 4;
 
-  /// Ticks of a tenth of a second since the index was made, from 1 on.
+  /// Time in ticks of 100 ms since construction, starting at 1.
   using Tick = std::uint32_t;
 
   struct Holder
   {
-    std::uint32_t tag = 0;   ///< Zero when free.
-    std::uint32_t stamp = 0; ///< Tick of the last news, times two; odd when confirmed by an event.
+    std::uint32_t tag = 0; ///< Zero when unused.
+    /// Tick of the last update times two; odd if confirmed by a cache event.
+    std::uint32_t stamp = 0;
   };
 
   struct Entry
   {
-    Tick updated = 0;  ///< Last news or dispatch.
-    float uses = 0; ///< Own dispatches, decayed up to `used`.
+    Tick updated = 0; ///< Tick of the last cache event or dispatch.
+    float uses = 0;   ///< Dispatches by this daemon, decayed up to `updated`.
     std::array<Holder, kHoldersPerBlock> holders;
   };
 
@@ -88,18 +90,16 @@
   [[nodiscard]] double DecayedUses(const Entry& aEntry, Tick aNow) const;
   [[nodiscard]] std::size_t FirstWayOf(std::uint64_t aBlock) const;
   [[nodiscard]] std::size_t KnownDepth(std::span<const std::uint64_t> aBlocks) const;
-  void Record(std::uint64_t aEndpointKey, std::span<const std::uint64_t> aBlocks,
-                bool aConfirmed);
+  void Record(std::uint64_t aEndpointKey, std::span<const std::uint64_t> aBlocks, bool aConfirmed);
 
   PrefixIndexSettings settings;
   const Clock& clock;
   TimePoint start;
-  /// Block of each entry, zero when free; kept apart so that probes stay in the processor's cache.
+  /// Block hash of each entry, zero when unused; a separate array so that lookups stay in the CPU cache.
   std::vector<std::uint64_t> keys;
-  std::vector<Entry> entries; ///< Sets of kWays entries.
-  std::unordered_map<std::uint32_t, Tick>
-    gapTicks; ///< Per tag: entries before that tick are doubtful.
-  std::unordered_map<std::uint32_t, Tick> resetTicks; ///< Per tag: entries before that tick are void.
+  std::vector<Entry> entries;                       ///< Parallel to `keys`; sets of kWays entries.
+  std::unordered_map<std::uint32_t, Tick> gapTicks; ///< By tag: older entries have less confidence.
+  std::unordered_map<std::uint32_t, Tick> resetTicks; ///< By tag: older entries are invalid.
 };
 
 } // namespace lagoonward
--- a/Lagoonward/Routing/PromptBlocks.cpp
+++ b/Lagoonward/Routing/PromptBlocks.cpp
@@ -29,7 +29,6 @@
     }
     block.append(aPrompt.substr(begin, end - begin));
     ++blocks.tokens;
-    // A block is complete
     if (blocks.tokens % kBlockTokens == 0) {
       chain = CombineHashes(chain, HashBytes(block));
       blocks.hashes.push_back(chain);
--- a/Lagoonward/Routing/PromptBlocks.h
+++ b/Lagoonward/Routing/PromptBlocks.h
@@ -6,16 +6,16 @@
 
 namespace lagoonward {
 
-/// The prompt as an engine's prefix cache sees it. One whitespace-separated word counts as one token;
-/// kBlockTokens of them make a block. A block's hash covers all blocks before it and the model, version
-/// and adapter, in the way that engines report in their cache events (docs/INTERFACES.md).
+/// A prompt split into the blocks of an engine's prefix cache. One whitespace-separated word counts as one token;
+/// kBlockTokens tokens make a block. A block's hash covers all blocks before it and the model, version and adapter,
+/// like the hashes in the engines' cache events (docs/INTERFACES.md).
 struct PromptBlocks
 {
-  /// Tokens of one cache block.
+  /// Tokens per cache block.
   static constexpr int kBlockTokens = 16;
 
-  int tokens = 0;                    ///< Estimate for the whole prompt.
-  std::vector<std::uint64_t> hashes; ///< Of the whole blocks, from the front.
+  int tokens = 0;                    ///< Estimated tokens of the whole prompt.
+  std::vector<std::uint64_t> hashes; ///< Of the complete blocks, in prompt order.
 
   /// @param aAdapter  `NAME@VERSION`, or empty for none
   [[nodiscard]] static PromptBlocks Split(std::string_view aModel, std::string_view aVersion,
--- a/Lagoonward/Routing/RouteChoice.h
+++ b/Lagoonward/Routing/RouteChoice.h
@@ -8,17 +8,19 @@
 
 namespace lagoonward {
 
-/// The terms of one endpoint's score, each in money.
+/// The cost terms of one endpoint's score, each in the currency of the hosts' prices.
 struct RouteCost
 {
-  double prefill = 0;   ///< Engine time for the uncached part of the prompt.
-  double decode = 0;    ///< Engine time for the answer.
-  double miss = 0;      ///< Chance of missing the class's targets times what a miss is worth.
-  double reclaim = 0;   ///< Expected recomputation if the host is reclaimed.
-  double recompute = 0; ///< Prompt tokens that another endpoint has cached and this one has not.
-  double locality = 0;  ///< Negative: what later requests save by finding the prefix at its home.
-  double latency = 0; ///< The answer time, where RoutingSettings::latencyWorth sets a price on it.
-  double slowStart = 0; ///< Surcharge of an endpoint that is new.
+  double prefill = 0; ///< Price of the engine time for the uncached part of the prompt.
+  double decode = 0;  ///< Price of the engine time for the output.
+  double miss = 0; ///< Probability of missing the class's latency targets times the cost of a miss.
+  double reclaim = 0; ///< Expected cost of recomputation in case the host is reclaimed.
+  /// Cost of prompt tokens that another endpoint has cached and this one has not.
+  double recompute = 0;
+  /// Negative: what later requests save if the prefix is cached at its home endpoint.
+  double locality = 0;
+  double latency = 0;   ///< Cost of the response time, priced by RoutingSettings::latencyWorth.
+  double slowStart = 0; ///< Surcharge of a new endpoint.
 
   [[nodiscard]] double Total() const
   {
@@ -27,7 +29,7 @@
   }
 };
 
-/// Where a request goes and why.
+/// Result of Router::Choose(): the endpoint for a request, its cost terms and predictions.
 struct RouteChoice
 {
   RoutingTablePtr table;      ///< Keeps `endpoint` valid.
@@ -35,10 +37,10 @@
   RouteCost cost;
   double firstTokenSeconds = 0;    ///< Predicted.
   double betweenTokensSeconds = 0; ///< Predicted.
-  int priority = 0;                ///< To be sent to the engine; see EnginePriority().
-  int cachedTokens = 0;            ///< Part of the prompt that is expected in the endpoint's cache.
-  int scoredEndpoints = 0;              ///< Endpoints that were scored.
-  /// Index of an endpoint from which the kept beginning of the prompt is to be fetched; `cachedTokens` counts it.
+  int priority = 0;                ///< Priority to send to the engine; see EnginePriority().
+  int cachedTokens = 0; ///< Prompt tokens expected in the endpoint's cache, including fetched ones.
+  int scoredEndpoints = 0; ///< Number of eligible endpoints.
+  /// Index of the endpoint from which the cached prefix is to be fetched, if any; `cachedTokens` includes it.
   std::optional<std::uint32_t> fetchFrom;
 
   [[nodiscard]] const RoutingTarget& Target() const
@@ -46,7 +48,7 @@
     return this->table->Targets()[this->endpoint];
   }
 
-  /// One sentence for the log line and for `explain`.
+  /// Describes the choice in one line, for logs and for `explain`.
   [[nodiscard]] std::string Describe() const;
 };
 
--- a/Lagoonward/Routing/RouteScore.cpp
+++ b/Lagoonward/Routing/RouteScore.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Chance that a value predicted with a relative error of about aSpread ends up over its target.
+/// Probability that a value, predicted with a relative error of about aSpread, exceeds its target.
 double
 MissProbability(double aPredicted, Milliseconds aTarget, double aSpread)
 {
@@ -18,7 +18,7 @@
   return 1 / (1 + std::exp((target - aPredicted) / (aSpread * target)));
 }
 
-/// By how many times its target a prediction exceeds it.
+/// Excess of a prediction over its target, as a multiple of the target.
 double
 RelativeExcess(double aPredicted, Milliseconds aTarget)
 {
@@ -28,10 +28,10 @@
   return std::max(aPredicted / ToSeconds(aTarget) - 1, 0.0);
 }
 
-/// Time until one of the endpoint's sequences is free for the request.
+/// Predicted wait in seconds until a sequence of the endpoint is free for the request.
 double
 SequenceWaitSeconds(const EndpointEstimate& aEstimate, const RouteRequest& aRequest, int aRank,
-                const RoutingSettings& aSettings)
+                    const RoutingSettings& aSettings)
 {
   const double reserved = aRank == 0 ? aSettings.reservedShare : 0;
   const double usable = aEstimate.speed.sequences * (1 - reserved);
@@ -40,9 +40,9 @@
     return 0;
   }
 
-  // They leave one after another, each after as long an answer as this one
+  // The sequences ahead are assumed to finish one after another, each after an output of the same length as this one
   const double secondsPerAnswer = std::max(aRequest.expectedOutputTokens, 1) *
-                      aEstimate.speed.StepSeconds(aEstimate.speed.sequences);
+                                  aEstimate.speed.StepSeconds(aEstimate.speed.sequences);
   return excess * secondsPerAnswer / aEstimate.speed.sequences;
 }
 
@@ -69,21 +69,24 @@
   const double fetchSeconds = aEstimate.fetchedTokens * aEstimate.fetchSecondsPerToken;
   const double prefill = uncached * speed.prefillSecondsPerToken + fetchSeconds;
   const double batch = std::min(aEstimate.sequences + 1, speed.sequences);
-  const double promptSeconds = (uncached + aEstimate.queuedPrefillTokens) * speed.PrefillSeconds(batch - 1);
+  const double promptSeconds =
+    (uncached + aEstimate.queuedPrefillTokens) * speed.PrefillSeconds(batch - 1);
   score.betweenTokensSeconds = speed.StepSeconds(batch);
   score.firstTokenSeconds = aSettings.networkSeconds + fetchSeconds + promptSeconds +
                             score.betweenTokensSeconds +
                             SequenceWaitSeconds(aEstimate, aRequest, aRank, aSettings);
   score.finishSeconds = score.firstTokenSeconds + output * score.betweenTokensSeconds;
 
-  // Engine time: what the request adds to it, and the share of the base that nobody else carries
-  const double baseShare = aSettings.packing / std::pow(aEstimate.sequences + 1, aSettings.packingPower);
+  // Price of the engine time that the request adds, including the part of the step base not shared with other sequences
+  const double baseShare =
+    aSettings.packing / std::pow(aEstimate.sequences + 1, aSettings.packingPower);
   const double decode = output * (speed.stepPerSequenceSeconds + baseShare * speed.stepBaseSeconds);
   score.cost.prefill = aEstimate.pricePerSecond * prefill;
   score.cost.decode = aEstimate.pricePerSecond * decode;
 
-  // A missed target is worth the same wherever it happens
-  const double firstTokenMiss = MissProbability(score.firstTokenSeconds, aRequest.firstToken, aSettings.spread);
+  // The cost of a missed target is the same at all endpoints
+  const double firstTokenMiss =
+    MissProbability(score.firstTokenSeconds, aRequest.firstToken, aSettings.spread);
   const double betweenTokensMiss =
     MissProbability(score.betweenTokensSeconds, aRequest.betweenTokens, aSettings.spread);
   double missCost = aMeanPrice * aSettings.missEngineSeconds;
@@ -91,27 +94,32 @@
     missCost *= aSettings.missRankFactor;
   }
   const double firstTokenExcess = RelativeExcess(score.firstTokenSeconds, aRequest.firstToken);
-  score.cost.miss = missCost * (firstTokenMiss + betweenTokensMiss - firstTokenMiss * betweenTokensMiss + aSettings.lateness * firstTokenExcess);
+  score.cost.miss =
+    missCost * (firstTokenMiss + betweenTokensMiss - firstTokenMiss * betweenTokensMiss +
+                aSettings.lateness * firstTokenExcess);
 
-  // Tokens that somebody would have to compute again, half of the answer among them
-  const double reclaimProbability = std::min(aEstimate.reclaimsPerSecond * score.finishSeconds, 1.0);
+  // Tokens to recompute if the host is reclaimed: the prompt and on average half of the output
+  const double reclaimProbability =
+    std::min(aEstimate.reclaimsPerSecond * score.finishSeconds, 1.0);
   const double recomputedTokenCost = aMeanPrice * speed.prefillSecondsPerToken *
-                            aSettings.recomputedTokenWorth * 2 *
-                            aRequest.objective.recomputedTokens;
-  score.cost.reclaim = reclaimProbability * (aRequest.promptTokens + output / 2) * recomputedTokenCost;
-  // One more copy of a prefix is charged to all those who will use it
+                                     aSettings.recomputedTokenWorth * 2 *
+                                     aRequest.objective.recomputedTokens;
+  score.cost.reclaim =
+    reclaimProbability * (aRequest.promptTokens + output / 2) * recomputedTokenCost;
+  // The cost of one more copy of a prefix is divided among its expected uses
   score.cost.recompute = std::max(aEstimate.bestCachedTokens - reused, 0.0) * recomputedTokenCost /
                          (1 + aEstimate.prefixUses / aSettings.hotUses);
   score.cost.prefill *= 2 * aRequest.objective.cost;
   score.cost.decode *= 2 * aRequest.objective.cost;
 
-  // A prefix that nobody is known to have goes home, where the other daemons look for it too
-  const double uncachedEverywhere = std::max(aRequest.promptTokens - aEstimate.bestCachedTokens, 0.0);
-  score.cost.locality = -aEstimate.homeWeight * aSettings.homePull * uncachedEverywhere * recomputedTokenCost /
-                        std::max(aSettings.recomputedTokenWorth, 1.0);
+  // A prefix that no endpoint is known to have is routed to its home endpoint, where the other daemons look for it too
+  const double uncachedEverywhere =
+    std::max(aRequest.promptTokens - aEstimate.bestCachedTokens, 0.0);
+  score.cost.locality = -aEstimate.homeWeight * aSettings.homePull * uncachedEverywhere *
+                        recomputedTokenCost / std::max(aSettings.recomputedTokenWorth, 1.0);
   score.cost.latency = aMeanPrice * aSettings.latencyWorth * score.finishSeconds;
-  score.cost.slowStart =
-    aEstimate.slowStartFactor * aEstimate.sequences * aMeanPrice * score.betweenTokensSeconds * output;
+  score.cost.slowStart = aEstimate.slowStartFactor * aEstimate.sequences * aMeanPrice *
+                         score.betweenTokensSeconds * output;
   return score;
 }
 
--- a/Lagoonward/Routing/Router.cpp
+++ b/Lagoonward/Routing/Router.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-/// Block of the prompt that names its prefix when a home is looked for: deep enough to tell documents
-/// behind a common preamble apart.
+/// Index of the prompt block whose hash determines the home endpoints of its prefix: deep enough to distinguish
+/// documents after a common preamble.
 constexpr std::size_t kHomeBlock = 31;
 
 constexpr double kSecondsPerHour = 3600;
@@ -44,7 +44,7 @@
   const std::lock_guard lock(this->mutex);
   const TimePoint now = this->clock.Now();
 
-  // Endpoints of the very first table are as old as can be: all starting slowly would mean none does
+  // No slow start for the endpoints of the first table: slow start is relative, so it has no effect if all are new
   const TimePoint firstSeen = this->table ? now : now - this->settings.slowStart;
   std::vector<EndpointActivity> activitiesKept;
   std::unordered_map<std::uint64_t, std::uint32_t> places;
@@ -93,7 +93,7 @@
 {
   const std::lock_guard lock(this->mutex);
   if (!this->table) {
-    return Error(ErrorKind::NoConfiguration, "no routing table yet");
+    return Error(ErrorKind::NoConfiguration, "no routing table received yet");
   }
   DecisionContext context;
   const auto group = this->table->FindGroup(aRequest);
@@ -109,7 +109,7 @@
     this->CollectRequired(aRequest.onlyEndpoint, context, candidates);
   }
 
-  // The cheapest of those that finish by the deadline
+  // Choose the cheapest endpoint that finishes by the deadline
   const double left = ToSeconds(aRequest.deadline - context.now);
   RoutingSettings scoreSettings = this->settings;
   scoreSettings.spread = this->PredictionSpread();
@@ -123,10 +123,10 @@
       continue;
     }
     const EndpointEstimate estimate = this->EstimateFor(target, context);
-    RouteScore score =
-      aRequest.isPlainCall
-        ? this->ScoreCall(target)
-        : ScoreEndpoint(estimate, aRequest, context.rank, this->table->MeanPricePerSecond(), scoreSettings);
+    RouteScore score = aRequest.isPlainCall
+                         ? this->ScoreCall(target)
+                         : ScoreEndpoint(estimate, aRequest, context.rank,
+                                         this->table->MeanPricePerSecond(), scoreSettings);
     score.cost.latency = this->WithNoise(score.cost.latency);
     earliest = eligible == 0 ? score.finishSeconds : std::min(earliest, score.finishSeconds);
     ++eligible;
@@ -144,14 +144,15 @@
   }
   if (eligible == 0) {
     return Error(ErrorKind::NoEndpoint,
-                 fmt::format("no endpoint for {} takes work", context.group->name))
+                 fmt::format("no endpoint for {} accepts requests", context.group->name))
       .WithRetryAfter(this->settings.retryAfterFloor);
   }
   if (choice.scoredEndpoints == 0) {
     const auto excess = std::chrono::duration<double>(earliest - left);
     const auto wait = std::chrono::duration_cast<Milliseconds>(excess);
     return Error(ErrorKind::DeadlineUnreachable,
-                 fmt::format("the earliest answer would come {} ms too late", wait.count()))
+                 fmt::format("the earliest predicted response is {} ms after the deadline",
+                             wait.count()))
       .WithRetryAfter(std::max(wait, this->settings.retryAfterFloor));
   }
   choice.scoredEndpoints = eligible;
@@ -177,7 +178,7 @@
 
 void
 Router::CollectRequired(std::string_view aEndpointId, const DecisionContext& aContext,
-                    Candidates& aCandidates) const
+                        Candidates& aCandidates) const
 {
   const auto found = this->targetByKey.find(this->KeyOf(aEndpointId));
   if (found != this->targetByKey.end() && aContext.group->Contains(found->second)) {
@@ -196,13 +197,13 @@
     aContext.holderCount = match.holderCount;
     aContext.prefixUses = match.uses * this->liveDaemons;
 
-    // What a leaving endpoint has cached cannot be used any more
-    auto* const end =
-      std::remove_if(aContext.holders.data(), aContext.holders.data() + aContext.holderCount,
-                     [&](const PrefixHolder& aHolder) {
-                       const auto place = this->targetByTag.find(aHolder.tag);
-                       return place == this->targetByTag.end() || !aContext.group->Contains(place->second);
-                     });
+    // Drop holders that are no longer in the group, such as leaving endpoints
+    auto* const end = std::remove_if(
+      aContext.holders.data(), aContext.holders.data() + aContext.holderCount,
+      [&](const PrefixHolder& aHolder) {
+        const auto place = this->targetByTag.find(aHolder.tag);
+        return place == this->targetByTag.end() || !aContext.group->Contains(place->second);
+      });
     aContext.holderCount = static_cast<std::size_t>(end - aContext.holders.data());
     this->FindHomes(aRequest, aContext);
   }
@@ -211,7 +212,7 @@
 void
 Router::FindHomes(const RouteRequest& aRequest, DecisionContext& aContext) const
 {
-  // The first endpoints on the ring after the prefix's position, each once
+  // The first distinct endpoints on the hash ring after the position of the prefix
   const auto& ring = aContext.group->ring;
   const std::size_t block = std::min(aRequest.prefixBlocks.size() - 1, kHomeBlock);
   const auto less = [](const RingPoint& aPoint, std::uint64_t aPosition) {
@@ -219,7 +220,8 @@
   };
   const auto start =
     std::lower_bound(ring.begin(), ring.end(), aRequest.prefixBlocks[block], less) - ring.begin();
-  for (std::size_t step = 0; step < ring.size() && aContext.homeCount < aContext.homes.size(); ++step) {
+  for (std::size_t step = 0; step < ring.size() && aContext.homeCount < aContext.homes.size();
+       ++step) {
     const auto target = ring[(static_cast<std::size_t>(start) + step) % ring.size()].target;
     if (aContext.homeCount == 0 || aContext.homes[0] != target) {
       aContext.homes[aContext.homeCount++] = target;
@@ -238,7 +240,7 @@
     return;
   }
 
-  // Who is thought to have the prefix, where it would live, and a sample that leans to the cheap
+  // Holders of the prefix, its home endpoints, and a random sample biased to the cheapest
   for (std::size_t index = 0; index < aContext.holderCount; ++index) {
     aCandidates.Add(this->targetByTag.at(aContext.holders[index].tag));
   }
@@ -268,7 +270,7 @@
 Router::ScoreCall(std::uint32_t aTarget) const
 {
   const RoutingTarget& target = this->table->Targets()[aTarget];
-  // One that is new is taken for a good one of its kind, so that it gets its first calls
+  // A new endpoint is assumed to be at least as fast as the average, so that it receives its first calls
   const double learned = this->activities[aTarget].ExpectedCallSeconds();
   const double usual = this->totalActivity.ExpectedCallSeconds();
   const double unknown = usual > 0 ? std::min(usual, this->settings.speed.serviceCallSeconds)
@@ -293,12 +295,13 @@
 double
 Router::PeersInFlightAt(const EndpointActivity& aActivity) const
 {
-  const bool hasPeerCounts = this->peersInFlightAt &&
-                      this->clock.Now() - *this->peersInFlightAt <= this->settings.peerLoadRetention;
+  const bool hasPeerCounts = this->peersInFlightAt && this->clock.Now() - *this->peersInFlightAt <=
+                                                        this->settings.peerLoadRetention;
   if (hasPeerCounts) {
     return aActivity.PeersInFlight();
   }
-  // A few own requests among many endpoints say little about where the others' are; many say more
+  // The distribution of this daemon's requests predicts that of the others better the more requests there are per
+  // endpoint
   const double targets = std::max<double>(static_cast<double>(this->activities.size()), 1);
   const double weight =
     this->ownInFlight / (this->ownInFlight + this->settings.peerPrior * targets);
@@ -309,8 +312,8 @@
 double
 Router::PeerFactor(const RoutingTarget& aTarget) const
 {
-  // They see the same reports and follow the same rules. A few own dispatches among many endpoints
-  // say little about where the others' have gone; many say more
+  // The other daemons apply the same rules to the same reports. This daemon's dispatches predict where the others have
+  // dispatched the better, the more of them there are per endpoint
   const double missed = this->totalActivity.DispatchedSince(aTarget.asOf);
   const double prior =
     this->settings.peerPrior * static_cast<double>(this->table->Targets().size());
@@ -372,8 +375,8 @@
     }
   }
   this->EstimateFetch(aTarget, aContext, estimate);
-  const double activitiesKept = estimate.cachedTokens + estimate.fetchedTokens;
-  const int priority = EnginePriority(aContext.rank, aContext.promptTokens - activitiesKept);
+  const double reused = estimate.cachedTokens + estimate.fetchedTokens;
+  const int priority = EnginePriority(aContext.rank, aContext.promptTokens - reused);
   estimate.queuedPrefillTokens = activity.PrefillPending(priority) * peers;
   const double age = ToSeconds(aContext.now - activity.FirstSeen());
   estimate.slowStartFactor = std::max(1 - age / ToSeconds(this->settings.slowStart), 0.0);
@@ -395,13 +398,14 @@
 }
 
 void
-Router::EstimateFetch(std::uint32_t aTarget, const DecisionContext& aContext, EndpointEstimate& aEstimate) const
+Router::EstimateFetch(std::uint32_t aTarget, const DecisionContext& aContext,
+                      EndpointEstimate& aEstimate) const
 {
   const double more = aEstimate.bestCachedTokens - aEstimate.cachedTokens;
   const double perToken = this->table->Targets()[aTarget].fetchSecondsPerToken;
   const auto holder = this->BestHolder(aContext);
-  const bool isFast =
-    perToken > 0 && perToken <= aEstimate.speed.prefillSecondsPerToken * this->settings.maxFetchTimeRatio;
+  const bool isFast = perToken > 0 && perToken <= aEstimate.speed.prefillSecondsPerToken *
+                                                    this->settings.maxFetchTimeRatio;
   if (holder && *holder != aTarget && isFast && more >= this->settings.minFetchedTokens) {
     aEstimate.fetchedTokens = more;
     aEstimate.fetchSecondsPerToken = perToken;
--- a/Lagoonward/Routing/Router.h
+++ b/Lagoonward/Routing/Router.h
@@ -22,118 +22,121 @@
 /// How an attempt at an endpoint ended.
 enum class DispatchOutcome
 {
-  Completed, ///< The answer is whole.
-  Failed,    ///< The endpoint is to blame: refused, broke off, fell silent.
-  Cancelled, ///< Moved or no longer wanted; says nothing about the endpoint.
+  Completed, ///< The response is complete.
+  Failed,    ///< Endpoint failure: it refused the request, broke off, or stopped sending data.
+  Cancelled, ///< Moved or no longer needed; does not count for or against the endpoint.
 };
 
-/// Requests in flight at one endpoint.
+/// Number of requests in flight at one endpoint.
 struct EndpointCount
 {
-  std::uint64_t endpointKey = 0; ///< As RoutingTarget::key.
+  std::uint64_t endpointKey = 0; ///< See RoutingTarget::key.
   int count = 0;
 };
 
-/// One attempt in progress, as Router::OnDispatched() gave it. Plain data; the attempt keeps it and
-/// hands it back with each event.
+/// State of one attempt in progress, created by Router::OnDispatched(). Plain data; the attempt stores it and passes it
+/// to the router with each event.
 struct Dispatch
 {
   std::uint64_t endpointKey = 0;
   std::size_t speedIndex = 0;
   int uncachedTokens = 0;
-  int freshTokens = 0;  ///< As in the request.
-  int priority = 0;     ///< As sent to the engine.
-  double sequences = 0; ///< Estimated batch at the endpoint when it was sent.
+  int freshTokens = 0;  ///< See RouteRequest::freshTokens; zero if the prefix is fetched.
+  int priority = 0;     ///< Priority sent to the engine.
+  double sequences = 0; ///< Estimated batch size at the endpoint at the time of dispatch.
   bool isPlainCall = false;
-  bool endpointWasIdle = false; ///< Little was ahead of it, so its first token shows the prefill speed.
+  /// Little was queued ahead, so the time to first token shows the prefill speed.
+  bool endpointWasIdle = false;
   bool hasFirstToken = false;
   bool finished = false;
   TimePoint dispatchedAt;
   TimePoint lastToken;
 
-  /// Events of a stream so far, and the tokens since a moment, of which speed is learned.
+  /// Stream events so far; tokens of the current speed sample and its start.
   int events = 0;
   int sampleTokens = 0;
   TimePoint sampleStart;
 };
 
-/// Chooses the endpoint for each attempt: the one with the lowest expected cost in money.
+/// Chooses the endpoint for each attempt: the one with the lowest expected cost, in the currency of the hosts' prices.
 ///
-/// Threads: one short mutex guards everything. A decision takes a few microseconds and a daemon takes some
-/// hundred requests a second, so that sharding would buy nothing and lose the exact own-dispatch
-/// counts. Choose(), OnToken() and OnFinished() allocate nothing.
+/// Thread-safe: one mutex, held briefly, guards all state. A decision takes a few microseconds and a daemon serves some
+/// hundred requests per second, so sharding would gain nothing and lose the exact counts of this daemon's dispatches.
+/// Choose(), OnToken() and OnFinished() allocate no memory.
 class Router
 {
 public:
-  /// @param aSeed  of the sampling; differs between daemons so that they do not herd
+  /// @param aSeed  seed of the random sampling; must differ between daemons so that they do not all choose the same
+  ///               endpoint
   Router(const RoutingSettings& aSettings, const Clock& aClock, std::uint64_t aSeed);
 
-  /// Takes a new table into use. What is known of endpoints that are still there is kept.
+  /// Replaces the routing table. State of endpoints that are also in the new table is retained.
   void Update(RoutingTablePtr aTable);
 
-  /// How many daemons share the traffic, this one included.
+  /// Sets the number of daemons that share the traffic, including this one.
   void SetLiveDaemons(int aCount);
 
-  /// The endpoint for a request, or why there is none.
-  /// Errors: UnknownModel, UnknownService; NoEndpoint when nothing eligible serves it;
-  /// DeadlineUnreachable with `retryAfter` when no endpoint is predicted to finish in time;
+  /// Chooses the endpoint for a request.
+  /// Errors: UnknownModel, UnknownService; NoEndpoint if no eligible endpoint serves the request;
+  /// DeadlineUnreachable with `retryAfter` if no endpoint is predicted to finish by the deadline;
   /// NoConfiguration before the first Update().
   [[nodiscard]] Result<RouteChoice> Choose(const RouteRequest& aRequest);
 
-  /// Tokens of a prompt's beginning that an endpoint's cache is believed to hold.
+  /// Prompt tokens expected in the endpoint's prefix cache.
   [[nodiscard]] int CachedTokens(std::string_view aEndpointId,
                                  std::span<const std::uint64_t> aBlocks) const;
 
-  /// Tells that the request is being sent where Choose() said.
+  /// Records that the request is sent to the chosen endpoint.
   [[nodiscard]] Dispatch OnDispatched(const RouteChoice& aChoice, const RouteRequest& aRequest);
 
-  /// A token has arrived. The first one also for plain services: their answer.
+  /// A token has arrived. For plain services: the response has arrived.
   void OnToken(Dispatch& aDispatch);
 
-  /// An event of a stream has arrived from an endpoint that tells no load: speed is learned from it.
+  /// A stream event has arrived from an endpoint that does not report its load; the speed is learned from these events.
   void OnEvent(Dispatch& aDispatch, int aTokens);
 
-  /// The attempt is over. Safe to call twice; only the first call counts.
+  /// The attempt has ended. Only the first call for a dispatch has an effect.
   void OnFinished(Dispatch& aDispatch, DispatchOutcome aOutcome);
 
-  /// News of an endpoint's prefix cache; see PrefixIndex.
+  /// Handles events of an endpoint's prefix cache; see PrefixIndex.
+  /// @param aGap  whether earlier events were missed
   void OnCacheEvents(std::string_view aEndpointId, std::span<const std::uint64_t> aStored,
                      std::span<const std::uint64_t> aEvicted, bool aGap);
 
-  /// How full the endpoints of a request's group are: sequences running and waiting over those that
-  /// they run at once, excluded endpoints left out. 1 is full. Zero when the group is unknown.
+  /// Utilization of the endpoints in a request's group, without excluded ones: running and waiting sequences divided by
+  /// the sequences they can run concurrently. 1 means full. Zero if the group is unknown.
   [[nodiscard]] double Pressure(const RouteRequest& aRequest) const;
 
-  /// Requests of this daemon in flight at each endpoint that has any.
+  /// Requests of this daemon in flight, for each endpoint with at least one.
   [[nodiscard]] std::vector<EndpointCount> OwnInFlight() const;
 
-  /// What the other daemons have in flight at endpoints; those not named have none.
+  /// Sets the requests that the other daemons have in flight at endpoints; zero for endpoints not in aCounts.
   void OnPeersInFlight(std::span<const EndpointCount> aCounts);
 
-  /// Seconds of a service's endpoints that some work takes, if each runs as many at once as it can. Nothing while
-  /// their speed is not known.
+  /// Endpoint seconds that aWork takes at a service's endpoints, each running as many requests concurrently as it can.
+  /// Empty while their speed is unknown.
   [[nodiscard]] std::optional<double> EndpointSeconds(std::string_view aService,
                                                       const EngineWork& aWork);
 
-  /// What this daemon itself has learned of endpoints' speed.
+  /// Endpoint speeds learned by this daemon alone.
   [[nodiscard]] std::vector<SpeedReport> LearnedSpeeds() const;
-  /// What it goes by, with what others have told.
+  /// Endpoint speeds in use, which combine the learned ones with reports of other daemons.
   [[nodiscard]] std::vector<SpeedReport> SpeedsInUse() const;
-  /// Another daemon has told either.
-  /// @param aSource  names that daemon
+  /// Handles a report of another daemon, with its learned speeds or its speeds in use.
+  /// @param aSource  identifies that daemon
   void OnToldSpeeds(std::uint64_t aSource, std::span<const SpeedReport> aReports);
 
-  /// Rank of a priority, see RoutingTable::RankOf(); zero before the first table.
+  /// Rank of a priority, see RoutingTable::RankOf(); zero before the first Update().
   [[nodiscard]] int RankOf(int aPriority) const;
 
-  /// Whether the endpoint's circuit breaker lets requests through.
+  /// Whether the endpoint's circuit breaker lets requests through; true for unknown endpoints.
   [[nodiscard]] bool IsAllowed(std::string_view aEndpointId) const;
 
 private:
   static constexpr std::size_t kMaxCandidates = 64;
   static constexpr std::size_t kMaxHolders = 16;
 
-  /// Endpoints to be scored for one request.
+  /// Set of endpoints to score for one request.
   struct Candidates
   {
     std::array<std::uint32_t, kMaxCandidates> targets;
@@ -142,7 +145,7 @@
     void Add(std::uint32_t aTarget);
   };
 
-  /// What Choose() works out once per request.
+  /// Data of one request that Choose() computes once for all candidates.
   struct DecisionContext
   {
     const RoutingGroup* group = nullptr;
@@ -159,50 +162,55 @@
   void FillContext(const RouteRequest& aRequest, DecisionContext& aContext) const;
   void FindHomes(const RouteRequest& aRequest, DecisionContext& aContext) const;
   void CollectRequired(std::string_view aEndpointId, const DecisionContext& aContext,
-                   Candidates& aCandidates) const;
+                       Candidates& aCandidates) const;
   void CollectCandidates(const DecisionContext& aContext, Candidates& aCandidates);
   [[nodiscard]] bool IsEligible(std::uint32_t aTarget, const RouteRequest& aRequest,
                                 TimePoint aNow) const;
-  [[nodiscard]] EndpointEstimate EstimateFor(std::uint32_t aTarget, const DecisionContext& aContext) const;
-  /// Lets an endpoint fetch what another one keeps of the prompt, if that is worth it.
-  void EstimateFetch(std::uint32_t aTarget, const DecisionContext& aContext, EndpointEstimate& aEstimate) const;
-  /// The endpoint that keeps most of the prompt, if any.
+  [[nodiscard]] EndpointEstimate EstimateFor(std::uint32_t aTarget,
+                                             const DecisionContext& aContext) const;
+  /// Adds the fetch of a cached prefix from another endpoint to an estimate, if that is fast enough.
+  void EstimateFetch(std::uint32_t aTarget, const DecisionContext& aContext,
+                     EndpointEstimate& aEstimate) const;
+  /// Endpoint that holds the longest prefix of the prompt, if any.
   [[nodiscard]] std::optional<std::uint32_t> BestHolder(const DecisionContext& aContext) const;
   [[nodiscard]] double EstimatedSequences(std::uint32_t aTarget, double aPeerFactor) const;
   [[nodiscard]] double PeerFactor(const RoutingTarget& aTarget) const;
-  /// What a plain call is expected to take at an endpoint.
+  /// Predicted time and cost of a plain call at an endpoint.
   [[nodiscard]] RouteScore ScoreCall(std::uint32_t aTarget) const;
-  /// Varies a price at random, see RoutingSettings::latencyNoise.
+  /// Adds random noise to a cost, see RoutingSettings::latencyNoise.
   [[nodiscard]] double WithNoise(double aCost);
-  /// Concludes anew from what was learned, if the last time is long enough ago.
+  /// Refreshes the speed model if kSpeedRefreshInterval has passed since the last refresh.
   void RefreshSpeed(TimePoint aNow);
-  /// What the other daemons are thought to have in flight at an endpoint that does not tell its load.
+  /// Estimated requests of the other daemons in flight at an endpoint that does not report its load.
   [[nodiscard]] double PeersInFlightAt(const EndpointActivity& aActivity) const;
   [[nodiscard]] EndpointActivity* FindActivity(std::uint64_t aKey);
-  /// Key of the life that an id names now.
+  /// Key of the current incarnation of an endpoint id.
   [[nodiscard]] std::uint64_t KeyOf(std::string_view aEndpointId) const;
   [[nodiscard]] std::uint64_t NextRandom();
 
-  /// `spread` for the daemons that live now.
+  /// RoutingSettings::spread, widened for the number of live daemons.
   [[nodiscard]] double PredictionSpread() const;
 
   RoutingSettings settings;
   const Clock& clock;
-  mutable std::mutex mutex; ///< Guards all below.
+  mutable std::mutex mutex; ///< Guards all members below.
   std::uint64_t randomState;
   RoutingTablePtr table;
   SpeedModel speed;
   TimePoint speedRefreshedAt;
   PrefixIndex prefixes;
-  std::vector<EndpointActivity> activities;                   ///< Parallel to the table's targets.
-  EndpointActivity totalActivity;                                ///< All own dispatches together.
-  std::vector<std::size_t> speedIndices;                      ///< Per machine class of the table.
-  std::unordered_map<std::uint64_t, std::uint32_t> targetByKey; ///< Endpoint key to target.
-  std::unordered_map<std::uint64_t, std::uint64_t> keyByIdHash;     ///< Hash of an id to endpoint key.
-  std::unordered_map<std::uint32_t, std::uint32_t> targetByTag;      ///< Prefix tag to target.
+  std::vector<EndpointActivity> activities; ///< Parallel to the table's targets.
+  EndpointActivity totalActivity;           ///< Dispatches of this daemon to all endpoints.
+  /// Index into `speed` for each machine class of the table.
+  std::vector<std::size_t> speedIndices;
+  std::unordered_map<std::uint64_t, std::uint32_t> targetByKey; ///< Endpoint key to target index.
+  /// Hash of an endpoint id to its key.
+  std::unordered_map<std::uint64_t, std::uint64_t> keyByIdHash;
+  /// PrefixIndex tag to target index.
+  std::unordered_map<std::uint32_t, std::uint32_t> targetByTag;
   int liveDaemons = 1;
-  int ownInFlight = 0;                      ///< At all endpoints.
-  std::optional<TimePoint> peersInFlightAt; ///< When the others last told.
+  int ownInFlight = 0;                      ///< Requests of this daemon in flight at all endpoints.
+  std::optional<TimePoint> peersInFlightAt; ///< Time of the last OnPeersInFlight().
 };
 
 } // namespace lagoonward
--- a/Lagoonward/Routing/RouterLearning.cpp
+++ b/Lagoonward/Routing/RouterLearning.cpp
@@ -4,20 +4,20 @@
 
 #include <algorithm>
 
-// The part of Router that learns: what becomes of dispatches, what endpoints have cached, what the other daemons
-// have in flight.
+// Members of Router that update its state: results of dispatches, contents of prefix caches, speeds, and requests of
+// the other daemons in flight.
 
 namespace lagoonward {
 
 namespace {
 
-/// With so little ahead of it, a request's first token shows the speed of prefill.
+/// Maximum pending prefill tokens at an endpoint for which a request's time to first token shows the prefill speed.
 constexpr double kIdlePrefillTokens = 64;
 
-/// Events of a stream that make one observation: two that arrive together still leave the others' time true.
+/// Stream events per observation. With several, the mean time per token stays correct if two events arrive together.
 constexpr int kEventsPerSample = 4;
 
-/// Between two conclusions from what was observed: the speed changes slowly, and each costs some microseconds.
+/// Minimum interval of speed model refreshes. The speed changes slowly, and each refresh takes some microseconds.
 constexpr Milliseconds kSpeedRefreshInterval{ 250 };
 
 } // namespace
@@ -30,7 +30,7 @@
   Dispatch dispatch;
   dispatch.endpointKey = target.key;
   dispatch.uncachedTokens = std::max(aRequest.promptTokens - aChoice.cachedTokens, 0);
-  // A fetch takes time that says nothing of reading
+  // The time of a fetch says nothing about the prefill speed
   dispatch.freshTokens = aChoice.fetchFrom ? 0 : aRequest.freshTokens;
   dispatch.isPlainCall = aRequest.isPlainCall;
   dispatch.priority = aChoice.priority;
@@ -40,8 +40,8 @@
   if (activity != nullptr) {
     const auto index = static_cast<std::uint32_t>(activity - this->activities.data());
     dispatch.sequences = this->EstimatedSequences(index, this->PeerFactor(target)) + 1;
-    dispatch.endpointWasIdle =
-      activity->PrefillPending(0) <= kIdlePrefillTokens && this->table->Targets()[index].waiting == 0;
+    dispatch.endpointWasIdle = activity->PrefillPending(0) <= kIdlePrefillTokens &&
+                               this->table->Targets()[index].waiting == 0;
     activity->breaker.OnDispatched(this->settings.breaker, dispatch.dispatchedAt);
     activity->OnDispatched(dispatch.dispatchedAt, dispatch.uncachedTokens, dispatch.priority);
     ++this->ownInFlight;
@@ -175,7 +175,7 @@
       continue;
     }
     occupied += this->EstimatedSequences(target, this->PeerFactor(each));
-    // What an endpoint says of itself goes before what is assumed of its class
+    // A concurrency reported by the endpoint takes precedence over the assumption for its class
     places += each.sequences > 0 ? each.sequences
                                  : this->speed.Get(this->speedIndices[each.machineClass]).sequences;
   }
@@ -229,7 +229,7 @@
       }
     }
   }
-  // A step's base is shared by those that run beside the request
+  // The base time of a step is shared by all sequences that run concurrently
   places = std::max(places, 1.0);
   const double call = std::max(this->totalActivity.ExpectedCallSeconds(), 0.0);
   return aWork.promptTokens * known.prefillSecondsPerToken +
--- a/Lagoonward/Routing/RoutingSettings.h
+++ b/Lagoonward/Routing/RoutingSettings.h
@@ -7,132 +7,139 @@
 
 namespace lagoonward {
 
-/// What is assumed of an engine's speed until answers have been observed. A decode step of a batch of
-/// N sequences takes `stepBase + N * stepPerSequence`.
+/// Assumed speed of an engine until responses have been observed. A decode step with a batch of N sequences takes
+/// `stepBaseSeconds + N * stepPerSequenceSeconds`.
 struct SpeedPriors
 {
   double prefillTokensPerSecond = 8000;
-  double prefillPerSequence =
-    0.000005; ///< Seconds that each running sequence adds to a prompt token.
+  /// Seconds that each running sequence adds to the prefill of a token.
+  double prefillPerSequence = 0.000005;
   double stepBaseSeconds = 0.012;
   double stepPerSequenceSeconds = 0.0008;
-  double sequences = 24;            ///< Sequences that an engine runs at once; more have to wait.
-  double learningRate = 0.02;       ///< Share of one observation's error that is corrected.
-  double maxPriorRatio = 8;                 ///< Learned values stay within prior / range and prior * range.
-  double serviceCallSeconds = 0.02; ///< How long a plain service's call takes.
-
-  /// Endpoints that tell no load are learned from the fastest of their answers instead of from each one's error.
+  double sequences = 24;      ///< Sequences that an engine runs concurrently; more have to wait.
+  double learningRate = 0.02; ///< Fraction of one observation's error that is corrected.
+  /// Learned values stay within prior / maxPriorRatio and prior * maxPriorRatio.
+  double maxPriorRatio = 8;
+  double serviceCallSeconds = 0.02; ///< Duration of a plain service's call.
+
+  /// For endpoints that do not report their load: the speed is learned from their fastest responses instead of from the
+  /// error of each one.
   SpeedEnvelopeSettings envelope;
 };
 
-/// Bounds of what a daemon remembers of prefix caches.
+/// Limits and confidence values of PrefixIndex.
 struct PrefixIndexSettings
 {
-  std::size_t blockTokens = 64;       ///< Tokens that one block hash stands for.
-  std::size_t capacity = 65536;       ///< Blocks remembered, 112 bytes each; the oldest go first.
-  Seconds maxAge{ 600 };              ///< An entry not confirmed for so long counts as evicted.
-  Milliseconds usesHalfLife{ 20000 }; ///< Half-life of the count of a prefix's uses.
-  double dispatchedConfidence = 0.98; ///< Trust in a block known only from an own dispatch.
-  double gapConfidence = 0.97; ///< Trust in entries older than a gap in the endpoint's events.
+  std::size_t blockTokens = 64; ///< Tokens per block.
+  std::size_t capacity = 65536; ///< Blocks stored, 112 bytes each; the oldest are evicted first.
+  Seconds maxAge{ 600 };        ///< An entry without an update for this long counts as evicted.
+  Milliseconds usesHalfLife{ 20000 }; ///< Half-life of the use count of a prefix.
+  /// Confidence in a block known only from a dispatch of this daemon.
+  double dispatchedConfidence = 0.98;
+  /// Factor on the confidence in entries older than a gap in the endpoint's events.
+  double gapConfidence = 0.97;
 };
 
-/// When an endpoint that fails is left alone.
+/// Settings of CircuitBreaker.
 struct CircuitBreakerSettings
 {
-  int failuresToOpen = 3;       ///< Failures in a row that open it.
-  Milliseconds openFor{ 2000 }; ///< Pause before one trial request; doubles with each failed trial.
-  Milliseconds maxOpenFor{ 60000 }; ///< Longest pause.
+  int failuresToOpen = 3; ///< Consecutive failures that open the breaker.
+  /// Open duration before one trial request; doubles with each failed trial.
+  Milliseconds openFor{ 2000 };
+  Milliseconds maxOpenFor{ 60000 }; ///< Upper limit of the open duration.
 };
 
-/// Everything tunable about routing. Money is in the currency of the hosts' prices.
+/// All tunables of routing. Costs are in the currency of the hosts' prices.
 struct RoutingSettings
 {
   SpeedPriors speed;
   PrefixIndexSettings prefix;
   CircuitBreakerSettings breaker;
 
-  /// Price of a host whose price is not known.
+  /// Price assumed for a host whose price is not known.
   double fallbackPricePerHour = 1;
 
-  /// Time to an endpoint and back, added to every prediction.
+  /// Network round trip to an endpoint, added to every prediction.
   double networkSeconds = 0.003;
 
-  /// Relative uncertainty of a prediction: the width of the curve from "met" to "missed".
+  /// Relative uncertainty of a prediction: the width of the logistic curve from a met to a missed target.
   double spread = 0.157;
 
-  /// How much wider that is for each further daemon, whose dispatches are not seen, up to twice.
+  /// Relative increase of `spread` for each further daemon, as its dispatches are not known here. `spread` at most
+  /// doubles.
   double peerSpread = 0.04;
 
-  /// Worth of one missed target of the lowest priority, in engine time.
+  /// Cost of one missed target at the lowest priority, in seconds of engine time.
   double missEngineSeconds = 9;
 
-  /// What each further target's length of waiting is worth, in missed targets. Without it a request
-  /// that is late anyway would queue where the queue is longest.
+  /// Cost of each further target duration by which the first token is late, in missed targets. Without it, a request
+  /// that misses its target at every endpoint could be sent to the longest queue.
   double lateness = 1;
 
-  /// How much more a missed target of each higher rank of priority is worth.
+  /// Factor on the cost of a missed target for each higher rank of priority.
   double missRankFactor = 6;
 
-  /// How far an engine's step base is charged to the request that would be alone there. Zero ignores
-  /// how full an engine is; above one, work is packed harder than its price alone would have it.
+  /// Fraction of an engine's step base charged to a request that would run alone there. Zero ignores how full an engine
+  /// is; values above one pack requests more densely than the price alone would.
   double packing = 3;
 
-  /// How fast that charge falls with the sequences that are there already.
+  /// Exponent with which that charge falls with the number of sequences at the endpoint.
   double packingPower = 1.7;
 
-  /// Engine seconds that a second of predicted answer time is worth even where no target is missed. Zero
-  /// packs requests where they are cheapest; above, they go where they are answered soonest.
+  /// Cost of a second of predicted response time, in engine seconds, even if no target is missed. Zero packs requests
+  /// on the cheapest endpoints; larger values prefer the endpoints with the earliest response.
   double latencyWorth = 0;
 
-  /// Whether a request of a higher rank need not wait where all places are taken.
+  /// Whether a request above the lowest rank is assumed not to wait at an endpoint whose sequences are all in use.
   bool ranksPreempt = true;
 
-  /// How long what the other daemons told of their requests in flight is believed.
+  /// How long the in-flight counts reported by the other daemons are used.
   Milliseconds peerLoadRetention{ 2000 };
 
-  /// Part by which the price of answer time is varied at random, so that daemons that see the same do not all
+  /// Maximum relative increase of the latency cost by random noise, so that daemons with the same data do not all
   /// choose the same endpoint.
   double latencyNoise = 0.2;
 
-  /// Part of a prompt's prefill that is expected to be saved later if a prefix that nobody has goes
-  /// to its home.
+  /// Later savings expected if a prefix that no endpoint has cached is sent to its home endpoint, as a multiple of the
+  /// prompt's prefill cost.
   double homePull = 4;
 
-  /// Share of an engine's sequences kept free of the lowest rank.
+  /// Fraction of an engine's sequences not used for requests of the lowest rank.
   double reservedShare = 0.35;
 
-  /// How little own dispatches say about those of other daemons, in dispatches per endpoint: the more
-  /// own dispatches a report has missed, the more the others are assumed to have done alike.
+  /// Dispatches of this daemon per endpoint at which they get half the weight in the estimate of the other daemons'
+  /// dispatches: the more of them a load report does not cover, the more the others are assumed to have dispatched
+  /// alike.
   double peerPrior = 0.5;
 
-  /// Chance per hour that a reclaimable host goes.
+  /// Reclaim rate of a reclaimable host, per hour.
   double reclaimsPerHour = 0.05;
 
-  /// The same for a failure domain where hosts are leaving now.
+  /// The same in a failure domain that has leaving hosts.
   double goingDomainPerHour = 120;
 
-  /// Worth of a recomputed token in the time of its prefill, where the objective's weight is 0.5.
+  /// Cost of a recomputed token, as a multiple of its prefill time, at an objective weight of 0.5.
   double recomputedTokenWorth = 40;
 
-  /// Fewest tokens of a kept prompt that are worth fetching from another endpoint instead of reading them again...
+  /// Minimum number of cached tokens to fetch from another endpoint instead of prefilling them again.
   double minFetchedTokens = 1024;
 
-  /// ...and the largest part of the reading's time that the fetching may take.
+  /// Maximum time of that fetch per token, as a fraction of the prefill time.
   double maxFetchTimeRatio = 0.6;
 
-  /// Recent uses of a prefix, over all daemons, that halve the charge for one more copy.
+  /// Recent uses of a prefix, over all daemons, at which the cost of one more copy is halved.
   double hotUses = 6;
 
-  /// A new endpoint's surcharge falls to nothing over this time.
+  /// Time over which a new endpoint's surcharge decreases to zero.
   Seconds slowStart{ 10 };
 
-  /// Up to so many endpoints all are scored; above, a sample.
+  /// Up to this number of endpoints, all are scored; above it, a sample.
   std::size_t fullScan = 32;
 
-  /// Endpoints drawn at random for the sample, half of them from the cheapest quarter.
+  /// Endpoints chosen at random for the sample, half of them from the cheapest quarter.
   std::size_t sample = 8;
 
-  /// Shortest Retry-After that is given.
+  /// Minimum Retry-After of an error.
   Milliseconds retryAfterFloor{ 200 };
 };
 
--- a/Lagoonward/Routing/RoutingTable.cpp
+++ b/Lagoonward/Routing/RoutingTable.cpp
@@ -29,7 +29,7 @@
   return HashBytes(aName, 5);
 }
 
-/// Index of a name in a list, which is extended where needed.
+/// Returns the index of a name in a list, and appends the name if it is missing.
 std::uint16_t
 Intern(std::vector<std::string>& aNames, const std::string& aName)
 {
@@ -41,7 +41,7 @@
   return static_cast<std::uint16_t>(aNames.size() - 1);
 }
 
-/// Moves a report's calendar time to the steady clock.
+/// Converts a report's wall time to the steady clock.
 TimePoint
 ToSteady(WallTime aWall, const Clock& aClock)
 {
@@ -68,7 +68,7 @@
   std::sort(priorities.begin(), priorities.end());
   priorities.erase(std::unique(priorities.begin(), priorities.end()), priorities.end());
 
-  // Targets keep the order of the snapshot, so that indices can be matched by whoever built it
+  // Targets keep the order of the snapshot, so that the caller can match their indices
   table->targets.reserve(aFleet.endpoints.size());
   for (const Endpoint& endpoint : aFleet.endpoints) {
     table->AddTarget(endpoint, aClock, aSettings);
@@ -119,7 +119,7 @@
 void
 RoutingTable::AddGroups(const FleetSnapshot& aFleet, const Manifest& aManifest)
 {
-  // Declared services exist even while nothing serves them
+  // Declared services have a group even if no endpoint serves them
   for (const ManifestService& service : aManifest.services) {
     this->groups.push_back({ service.name, ServiceKey(service.name), {}, {}, {} });
   }
@@ -196,15 +196,15 @@
   if (aRequest.model.empty()) {
     key = ServiceKey(aRequest.service);
   } else {
-    // The manifest says what may be asked for, and what is meant where a version is left out
+    // The manifest defines which models can be requested, and the versions to use where they are omitted
     const auto model =
       std::find_if(this->models.begin(), this->models.end(), [&](const ManifestModel& aModel) {
         return aModel.name == aRequest.model &&
                (aRequest.version.empty() || aModel.version == aRequest.version);
       });
     if (model == this->models.end()) {
-      return Error(ErrorKind::UnknownModel,
-                   fmt::format("no model {} {}", aRequest.model, aRequest.version));
+      return Error(ErrorKind::UnknownModel, fmt::format("the manifest has no model {} {}",
+                                                        aRequest.model, aRequest.version));
     }
     std::string_view adapterVersion = aRequest.adapterVersion;
     if (!aRequest.adapter.empty()) {
@@ -233,7 +233,8 @@
     return &*place;
   }
   if (aRequest.model.empty()) {
-    return Error(ErrorKind::UnknownService, fmt::format("no service {}", aRequest.service));
+    return Error(ErrorKind::UnknownService,
+                 fmt::format("the manifest has no service {}", aRequest.service));
   }
   return Error(ErrorKind::NoEndpoint,
                fmt::format("no endpoint has loaded {} {}", aRequest.model, aRequest.adapter));
--- a/Lagoonward/Routing/RoutingTable.h
+++ b/Lagoonward/Routing/RoutingTable.h
@@ -12,80 +12,82 @@
 
 namespace lagoonward {
 
-/// One endpoint as the router sees it.
+/// One endpoint in the routing table.
 struct RoutingTarget
 {
   std::string id;
-  std::uint64_t key = 0; ///< Names one life of the endpoint; see EndpointKeyOf().
-  bool live = false;     ///< May get new work.
+  std::uint64_t key = 0; ///< Identifies one incarnation of the endpoint; see EndpointKeyOf().
+  bool live = false;     ///< Whether it accepts new requests.
   bool reclaimable = true;
   std::uint16_t machineClass = 0;  ///< Index into RoutingTable::MachineClasses().
   std::uint16_t failureDomain = 0; ///< Index into RoutingTable::FailureDomains().
   double pricePerSecond = 0;
-  int sequences = 0; ///< That it runs at once, as it says itself; zero where it does not.
-  double fetchSecondsPerToken = 0; ///< See Endpoint.
-  bool reportsLoad = false; ///< Whether it tells its load; else only own dispatches are known.
-  int waiting = 0;      ///< As reported.
-  int running = 0;      ///< As reported.
-  TimePoint asOf;       ///< When the report was taken, on this daemon's clock.
+  int sequences = 0; ///< Sequences that it runs concurrently, as it reports; zero if it does not.
+  double fetchSecondsPerToken = 0; ///< See Endpoint::fetchSecondsPerToken.
+  bool reportsLoad = false; ///< Whether it reports its load; if not, only dispatches are known.
+  int waiting = 0;          ///< Waiting sequences, as reported.
+  int running = 0;          ///< Running sequences, as reported.
+  TimePoint asOf;           ///< Time of the report, on this daemon's steady clock.
 };
 
-/// A place on a group's hash ring.
+/// A point on a group's consistent hash ring.
 struct RingPoint
 {
   std::uint64_t position = 0;
   std::uint32_t target = 0;
 };
 
-/// The endpoints that serve one thing: a model's version with an adapter's, or a plain service.
+/// The endpoints that serve one model version, optionally with an adapter version, or one plain service.
 struct RoutingGroup
 {
-  std::string name; ///< For messages, for example "permit:letters@3".
+  std::string name; ///< For messages, such as "permit:letters@3".
   std::uint64_t key = 0;
-  std::vector<std::uint32_t> targets; ///< Live ones, cheapest first.
+  std::vector<std::uint32_t> targets; ///< Indices of the live endpoints, cheapest first.
   std::vector<RingPoint> ring;        ///< Sorted by position.
-  std::vector<char> isMember;          ///< For each target of the table.
+  std::vector<char> isMember;         ///< Nonzero for members, by target index.
 
   [[nodiscard]] bool Contains(std::uint32_t aTarget) const { return this->isMember[aTarget] != 0; }
 };
 
-/// How a table is built.
+/// Settings of RoutingTable::Build().
 struct RoutingTableSettings
 {
-  double fallbackPricePerHour = 1; ///< For hosts without a known price.
-  int ringPoints = 8;              ///< Places on the ring for each endpoint.
+  double fallbackPricePerHour = 1; ///< For hosts whose price is not known.
+  int ringPoints = 8;              ///< Points on the hash ring per endpoint.
 };
 
 class RoutingTable;
 using RoutingTablePtr = std::shared_ptr<const RoutingTable>;
 
-/// Immutable, contiguous form of one fleet snapshot under one manifest. Built by the control thread
-/// whenever either changes; traffic threads only read it.
+/// Immutable routing data of one fleet snapshot and one manifest, stored contiguously. Built by the control thread when
+/// either changes; traffic threads only read it.
 class RoutingTable
 {
 public:
-  /// Builds the table. Report times are moved from the engines' calendar clocks to this daemon's
-  /// steady clock; a report from the future counts as taken now.
+  /// Builds the table. Report times are converted from the engines' wall clocks to this daemon's steady clock; a report
+  /// time in the future counts as now.
   [[nodiscard]] static RoutingTablePtr Build(const FleetSnapshot& aFleet, const Manifest& aManifest,
                                              const Clock& aClock,
                                              const RoutingTableSettings& aSettings = {});
 
-  /// The group that a request asks for. Versions left out are taken from the manifest; from then on
-  /// they are matched exactly.
-  /// Errors: UnknownModel, UnknownService when the manifest has no such thing.
+  /// Finds the group for a request. Omitted versions are taken from the manifest; versions must match exactly.
+  /// Errors: UnknownModel, UnknownService if the manifest does not declare it; NoEndpoint if no endpoint has it loaded.
   [[nodiscard]] Result<const RoutingGroup*> FindGroup(const RouteRequest& aRequest) const;
 
   [[nodiscard]] std::span<const RoutingTarget> Targets() const { return this->targets; }
   [[nodiscard]] std::span<const std::string> MachineClasses() const { return this->machineClasses; }
   [[nodiscard]] std::span<const std::string> FailureDomains() const { return this->failureDomains; }
 
-  /// Whether hosts of that failure domain are leaving.
-  [[nodiscard]] bool IsLeaving(std::uint16_t aDomain) const { return this->leavingDomains[aDomain] != 0; }
+  /// Whether the failure domain has leaving endpoints.
+  [[nodiscard]] bool IsLeaving(std::uint16_t aDomain) const
+  {
+    return this->leavingDomains[aDomain] != 0;
+  }
 
-  /// Rank of a priority among those of the manifest's classes, 0 the lowest, at most 3.
+  /// Rank of a priority among those of the manifest's classes: 0 is the lowest, 3 the maximum.
   [[nodiscard]] int RankOf(int aPriority) const;
 
-  /// Mean price of a live endpoint, per second.
+  /// Mean price per second of the live endpoints.
   [[nodiscard]] double MeanPricePerSecond() const { return this->meanPricePerSecond; }
 
 private:
@@ -99,8 +101,8 @@
   std::vector<RoutingGroup> groups; ///< Sorted by key.
   std::vector<std::string> machineClasses;
   std::vector<std::string> failureDomains;
-  std::vector<char> leavingDomains;     ///< For each failure domain.
-  std::vector<int> priorities; ///< Distinct ones of the manifest's classes, ascending.
+  std::vector<char> leavingDomains; ///< Nonzero if it has leaving endpoints, by failure domain.
+  std::vector<int> priorities;      ///< Distinct priorities of the manifest's classes, ascending.
   std::vector<ManifestModel> models;
   double meanPricePerSecond = 0;
 };
--- a/Lagoonward/Routing/SpeedEnvelope.cpp
+++ b/Lagoonward/Routing/SpeedEnvelope.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// The value below which a part of the values lies. The values are reordered; there must be some.
+/// The value below which the fraction aFraction of the values lies. Reorders the values, which must not be empty.
 double
 Quantile(std::vector<double>& aValues, double aFraction)
 {
@@ -70,16 +70,17 @@
   if (recent.size() < this->settings.minSamples) {
     return std::nullopt;
   }
-  // The longer half: the shorter a prompt, the more of its time is something else
+  // Use the longer half of the prompts: the shorter a prompt, the larger the part of its time that is not prefill
   const auto middle = recent.begin() + static_cast<std::ptrdiff_t>(recent.size() / 2);
   std::nth_element(
     recent.begin(), middle, recent.end(),
     [](const Sample& aLeft, const Sample& aRight) { return aLeft.size < aRight.size; });
   std::vector<double> speeds;
   for (const Sample& sample : std::span(middle, recent.end())) {
-    // A reading cannot take less than a small part of the whole, whatever the step is believed to take
+    // Lower bound of the prefill time as a fraction of the total, in case the step time is overestimated
     constexpr double kMinPrefillFraction = 0.2;
-    const double prefillSeconds = std::max(sample.seconds - aStepSeconds, sample.seconds * kMinPrefillFraction);
+    const double prefillSeconds =
+      std::max(sample.seconds - aStepSeconds, sample.seconds * kMinPrefillFraction);
     speeds.push_back(sample.size / prefillSeconds);
   }
   return Quantile(speeds, this->settings.promptQuantile);
@@ -95,7 +96,7 @@
   std::sort(recent.begin(), recent.end(),
             [](const Sample& aLeft, const Sample& aRight) { return aLeft.size < aRight.size; });
 
-  // A line through the quantiles of the smaller and the larger batches
+  // Fit a line through the quantiles of the smaller and of the larger batches
   struct Half
   {
     double sequences = 0;
--- a/Lagoonward/Routing/SpeedEnvelope.h
+++ b/Lagoonward/Routing/SpeedEnvelope.h
@@ -9,41 +9,43 @@
 
 namespace lagoonward {
 
-/// Tunables of learning engines' speed from answers alone.
+/// Tunables of SpeedEnvelope.
 struct SpeedEnvelopeSettings
 {
-  /// Quantile of the observed reading speeds that is taken for the engine's. Waiting, parts of the prompt that had to
-  /// be read as well, and slow endpoints only make a request look slower, so the truth lies at the upper end; the last
-  /// tenth is left to prompts that an endpoint had read before without this daemon's knowledge. With engines that are
-  /// half busy, 35 tokens/ms were learned where a prompt alone is read at 36.
+  /// Quantile of the observed prefill speeds that is used as the engine's speed. Waiting, further parts of the prompt
+  /// that had to be prefilled, and slow endpoints only make a request appear slower, so the true speed is at the upper
+  /// end. The top tenth is excluded because it can contain prompts that an endpoint had cached without this daemon's
+  /// knowledge. With engines at half load, 35 tokens/ms were learned where a prompt alone is prefilled at 36.
   double promptQuantile = 0.9;
 
-  /// Quantile of the observed times per token that is taken for the engine's, by the same reasoning: prompts that are
-  /// read in between only add. 5.6 to 6.0 ms were learned where 5.6 to 5.95 are true.
+  /// Quantile of the observed times per token that is used as the engine's, for the same reason: prefills of other
+  /// prompts in between only add to them. 5.6 to 6.0 ms were learned where the true values were 5.6 to 5.95.
   double stepQuantile = 0.1;
 
-  Seconds window{ 10 };     ///< Older answers no longer count: a change shows within this time.
-  std::size_t minSamples = 12;  ///< Answers without which nothing is concluded.
-  int minPromptTokens = 256; ///< Prompt tokens below which the way there and back hides the reading.
-  double defaultGrowth =
-    0.01; ///< Part by which each sequence lengthens a step, until batches of different sizes show it.
-  double minBatchContrast =
-    4; ///< Sequences by which two halves of the batches must differ to show it.
-  double maxGrowth = 0.1; ///< Bound of that part.
-
-  /// How fast a conclusion is followed, as a time constant: one of a faster engine soon, as nothing but a faster engine
-  /// shows it; one of a slower engine later, and much later while its steps take as long as before: then it is
-  /// busy rather than slow. In a wave that all endpoints were too few for, 35 tokens/ms came down to 5 for ten seconds.
+  /// Older samples are ignored, so a change of speed takes effect within this time.
+  Seconds window{ 10 };
+  std::size_t minSamples = 12; ///< Minimum number of samples for an estimate.
+  int minPromptTokens = 256; ///< For shorter prompts the network round trip hides the prefill time.
+  /// Relative increase of a step's time per sequence, until batches of different sizes allow estimating it.
+  double defaultGrowth = 0.01;
+  /// Difference in mean sequences between two halves of the samples needed for that.
+  double minBatchContrast = 4;
+  double maxGrowth = 0.1; ///< Upper bound of that increase.
+
+  /// Time constants with which the speed in use follows a new estimate. A faster estimate is followed soon, as only a
+  /// faster engine can cause it. A slower one is followed later, and much later while the step times have not changed:
+  /// then the engine is busy rather than slow. During a load peak beyond the capacity of all endpoints, the estimate
+  /// fell from 35 tokens/ms to 5 for ten seconds.
   Milliseconds speedUpTimeConstant{ 1'000 };
   Milliseconds slowDownTimeConstant{ 2'000 };
   Milliseconds busyTimeConstant{ 60'000 };
-  double maxBusyPrefillGrowth =
-    1.5; ///< Most by which a busy engine's reading is taken to have grown at once.
+  /// Upper bound of the growth of prefill time in one estimate of a busy engine.
+  double maxBusyPrefillGrowth = 1.5;
 
-  /// What another daemon has told counts for so long.
+  /// How long the report of another daemon is used.
   Seconds peerReportRetention{ 5 };
 
-  /// Part by which each running sequence lengthens the reading of a prompt, as both share the steps.
+  /// Relative increase of prefill time per running sequence, as both share the steps.
   double prefillGrowthPerSequence = 0.03;
 };
 
@@ -54,33 +56,33 @@
   double perSequence = 0;
 };
 
-/// Learns how fast one class of engines reads prompts and makes tokens from what callers' answers show, without load
-/// reports. All that disturbs an observation makes it slower, never faster, so an outer quantile of the recent
-/// ones is taken, not their mean: a mean takes a busy engine for a slow one and orders three times too many. Plain
-/// memory, no allocation after construction but for the estimates. Not thread-safe.
+/// Estimates the prefill and decode speed of one class of engines from response times alone, without load reports.
+/// Every disturbance makes an observation slower, never faster. Therefore an outer quantile of the recent samples is
+/// used, not their mean: a mean mistakes a busy engine for a slow one, and three times too many were ordered. Memory is
+/// allocated only by the estimates. Not thread-safe.
 class SpeedEnvelope
 {
 public:
   explicit SpeedEnvelope(const SpeedEnvelopeSettings& aSettings);
 
-  /// A first token has come.
-  /// @param aFreshTokens  tokens of the prompt that the endpoint cannot have read before
-  /// @param aSeconds      since the request was sent, less the way there and back
+  /// Records the time to first token of a request.
+  /// @param aFreshTokens  prompt tokens that the endpoint cannot have cached
+  /// @param aSeconds      time since the request was sent, minus the network round trip
   void OnPrompt(TimePoint aNow, int aFreshTokens, double aSeconds);
 
-  /// Some tokens have come one after the other.
-  /// @param aSequences  that are thought to have run there
+  /// Records the time per token of some consecutive tokens.
+  /// @param aSequences  estimated sequences running at the endpoint
   void OnStep(TimePoint aNow, double aSequences, double aSecondsPerToken);
 
-  /// Prompt tokens read a second by an engine that does nothing else; nothing while too little is known.
-  /// @param aStepSeconds  that a first token takes beside the reading
+  /// Prompt tokens per second of an otherwise idle engine; empty with fewer than minSamples samples.
+  /// @param aStepSeconds  time of the decode step of the first token, in addition to the prefill
   [[nodiscard]] std::optional<double> PromptTokensPerSecond(TimePoint aNow,
                                                             double aStepSeconds) const;
 
-  /// Times of decode steps; nothing while too little is known.
+  /// Times of decode steps; empty with fewer than minSamples samples.
   [[nodiscard]] std::optional<StepTimes> Steps(TimePoint aNow) const;
 
-  /// Prompts that count now.
+  /// Number of prompt samples within the window.
   [[nodiscard]] std::size_t CountPrompts(TimePoint aNow) const;
 
 private:
@@ -89,11 +91,11 @@
   struct Sample
   {
     TimePoint at;
-    double size = 0; ///< Prompt tokens, or sequences.
+    double size = 0; ///< Prompt tokens for prefill samples, sequences for step samples.
     double seconds = 0;
   };
 
-  /// The newest samples, overwritten in turn.
+  /// Ring buffer of the newest samples.
   struct SampleRing
   {
     std::array<Sample, kMaxSamples> samples{};
--- a/Lagoonward/Routing/SpeedModel.cpp
+++ b/Lagoonward/Routing/SpeedModel.cpp
@@ -7,17 +7,17 @@
 
 namespace {
 
-/// Shorter prompts say more about queues and networks than about prefill.
+/// For shorter prompts, the time to first token depends more on queueing and the network than on prefill.
 constexpr int kMinPromptTokens = 512;
 
-/// Scales the batch so that both terms of a step weigh alike in the correction.
+/// Scales the batch size so that both terms of a step have equal weight in the correction.
 constexpr double kTypicalBatch = 16;
 
 } // namespace
 
 namespace {
 
-/// The median of one figure.
+/// Weighted median of one member.
 double
 MedianOf(std::span<const SpeedReport* const> aReports, double SpeedReport::*aMember)
 {
@@ -28,7 +28,7 @@
     daemons += report->daemons;
   }
   std::sort(values.begin(), values.end());
-  // The middle one, or the mean of the two in the middle
+  // The middle value, or the mean of the two middle values
   double lower = values.front().first;
   std::uint64_t before = 0;
   bool hasLower = false;
@@ -88,7 +88,8 @@
 double
 SpeedModel::ClampToPrior(double aValue, double aPrior) const
 {
-  return std::clamp(aValue, aPrior / this->priors.maxPriorRatio, aPrior * this->priors.maxPriorRatio);
+  return std::clamp(aValue, aPrior / this->priors.maxPriorRatio,
+                    aPrior * this->priors.maxPriorRatio);
 }
 
 void
@@ -102,10 +103,10 @@
   const double batch = aSequences / kTypicalBatch;
   const double error = aSeconds / aUncachedTokens - speed.PrefillSeconds(aSequences);
   const double step = this->priors.learningRate * error / (1 + batch * batch);
-  speed.prefillSecondsPerToken =
-    this->ClampToPrior(speed.prefillSecondsPerToken + step, 1 / this->priors.prefillTokensPerSecond);
-  speed.prefillPerSequence = this->ClampToPrior(speed.prefillPerSequence + step * batch / kTypicalBatch,
-                                           this->priors.prefillPerSequence);
+  speed.prefillSecondsPerToken = this->ClampToPrior(speed.prefillSecondsPerToken + step,
+                                                    1 / this->priors.prefillTokensPerSecond);
+  speed.prefillPerSequence = this->ClampToPrior(
+    speed.prefillPerSequence + step * batch / kTypicalBatch, this->priors.prefillPerSequence);
 }
 
 void
@@ -115,10 +116,11 @@
   const double batch = std::max(aSequences, 1.0) / kTypicalBatch;
   const double error = aSeconds - speed.StepSeconds(std::max(aSequences, 1.0));
   const double step = this->priors.learningRate * error / (1 + batch * batch);
-  speed.stepBaseSeconds = this->ClampToPrior(speed.stepBaseSeconds + step, this->priors.stepBaseSeconds);
+  speed.stepBaseSeconds =
+    this->ClampToPrior(speed.stepBaseSeconds + step, this->priors.stepBaseSeconds);
   speed.stepPerSequenceSeconds =
     this->ClampToPrior(speed.stepPerSequenceSeconds + step * batch / kTypicalBatch,
-                  this->priors.stepPerSequenceSeconds);
+                       this->priors.stepPerSequenceSeconds);
 }
 
 void
@@ -165,13 +167,14 @@
     const SpeedReport& known = *aClass.local;
     next.stepBaseSeconds =
       follow(known.stepBaseSeconds, next.stepBaseSeconds, settings.slowDownTimeConstant);
-    next.stepPerSequenceSeconds =
-      follow(known.stepPerSequenceSeconds, next.stepPerSequenceSeconds, settings.slowDownTimeConstant);
-    // An engine that has become slower reads and writes slower alike; if only its reading has, it is busy
+    next.stepPerSequenceSeconds = follow(known.stepPerSequenceSeconds, next.stepPerSequenceSeconds,
+                                         settings.slowDownTimeConstant);
+    // In an engine that has become slower, prefill and decode are both slower; if only prefill is, the engine is busy
     const double growth = std::max(next.stepBaseSeconds / known.stepBaseSeconds, 1.0);
-    const double prefillSeconds = known.prefillSecondsPerToken * growth;
+    const double scaledPrefill = known.prefillSecondsPerToken * growth;
     next.prefillSecondsPerToken =
-      follow(prefillSeconds, std::min(next.prefillSecondsPerToken, prefillSeconds * settings.maxBusyPrefillGrowth),
+      follow(scaledPrefill,
+             std::min(next.prefillSecondsPerToken, scaledPrefill * settings.maxBusyPrefillGrowth),
              settings.busyTimeConstant);
   }
   aClass.local = std::move(next);
@@ -188,8 +191,8 @@
   if (aClass.local) {
     reports.push_back(&*aClass.local);
   }
-  for (const auto& [source, peerReports] : aClass.peerReports) {
-    reports.push_back(&peerReports.report);
+  for (const auto& [source, peerReport] : aClass.peerReports) {
+    reports.push_back(&peerReport.report);
   }
   if (reports.empty()) {
     return;
@@ -197,7 +200,8 @@
   const SpeedReport median = MedianOfSpeeds(reports);
   MachineSpeed& speed = aClass.speed;
   speed.prefillSecondsPerToken = median.prefillSecondsPerToken;
-  speed.prefillPerSequence = speed.prefillSecondsPerToken * this->priors.envelope.prefillGrowthPerSequence;
+  speed.prefillPerSequence =
+    speed.prefillSecondsPerToken * this->priors.envelope.prefillGrowthPerSequence;
   speed.stepBaseSeconds = median.stepBaseSeconds;
   speed.stepPerSequenceSeconds = median.stepPerSequenceSeconds;
 }
@@ -222,7 +226,8 @@
     const MachineClass& each = this->classes[index];
     if (this->IsLearned(index)) {
       reports.push_back({ each.name, each.speed.prefillSecondsPerToken, each.speed.stepBaseSeconds,
-                          each.speed.stepPerSequenceSeconds, each.local ? each.local->prompts : 0 });
+                          each.speed.stepPerSequenceSeconds,
+                          each.local ? each.local->prompts : 0 });
     }
   }
   return reports;
@@ -248,8 +253,8 @@
   if (error > 0) {
     speed.sequences = this->ClampToPrior(aRunning, this->priors.sequences);
   } else if (aWaiting > 0) {
-    speed.sequences =
-      this->ClampToPrior(speed.sequences + this->priors.learningRate * error, this->priors.sequences);
+    speed.sequences = this->ClampToPrior(speed.sequences + this->priors.learningRate * error,
+                                         this->priors.sequences);
   }
 }
 
--- a/Lagoonward/Routing/SpeedModel.h
+++ b/Lagoonward/Routing/SpeedModel.h
@@ -17,50 +17,50 @@
 struct MachineSpeed
 {
   double prefillSecondsPerToken = 0; ///< Engine time.
-  double prefillPerSequence = 0;     ///< Added to it, in waiting time, by each running sequence.
+  double prefillPerSequence = 0;     ///< Additional wait per token for each running sequence.
   double stepBaseSeconds = 0;
   double stepPerSequenceSeconds = 0;
-  double sequences = 0; ///< Sequences that run at once.
+  double sequences = 0; ///< Sequences that run concurrently.
 
-  /// Length of one decode step with that many sequences in the batch.
+  /// Duration of one decode step with aSequences in the batch.
   [[nodiscard]] double StepSeconds(double aSequences) const
   {
     return this->stepBaseSeconds + this->stepPerSequenceSeconds * aSequences;
   }
 
-  /// Time until a prompt token is computed beside that many sequences, which share the steps.
+  /// Prefill time of a prompt token with aSequences running, which share the steps.
   [[nodiscard]] double PrefillSeconds(double aSequences) const
   {
     return this->prefillSecondsPerToken + this->prefillPerSequence * aSequences;
   }
 };
 
-/// What is known of one machine class, as daemons tell each other.
+/// Speed of one machine class, as daemons report it to each other.
 struct SpeedReport
 {
   std::string machineClass;
   double prefillSecondsPerToken = 0;
   double stepBaseSeconds = 0;
   double stepPerSequenceSeconds = 0;
-  std::uint32_t prompts = 0; ///< Answers that it rests on.
-  std::uint32_t daemons = 1; ///< That have learned it; it counts for as many.
+  std::uint32_t prompts = 0; ///< Number of responses the report is based on.
+  std::uint32_t daemons = 1; ///< Number of daemons that have learned it; the weight of the report.
 };
 
-/// The median of several reports on one machine class, each counted for as many daemons as it names. At least one.
+/// Median of the reports on one machine class, weighted by SpeedReport::daemons. There must be at least one report.
 [[nodiscard]] SpeedReport
 MedianOfSpeeds(std::span<const SpeedReport* const> aReports);
 
-/// Learns how fast each machine class prefills and decodes. Where endpoints report their load, a share of each
-/// observation's error is corrected (normalised least mean squares), and values stay within a range of the priors, so
-/// that a stalled connection cannot teach nonsense. Where they do not, the fastest answers are taken for the
-/// engine's speed (SpeedEnvelope), without any bound, and the median over all daemons that tell theirs is used, so that a
-/// fresh daemon knows with the first message. Not thread-safe.
+/// Learns the prefill and decode speed of each machine class. Where endpoints report their load, a fraction of each
+/// observation's error is corrected (normalised least mean squares), and values are limited to a range around the
+/// priors, so that a stalled connection cannot distort them. Where they do not, the fastest responses define the speed
+/// (SpeedEnvelope), without limits, and the median over all reporting daemons is used, so that a new daemon knows the
+/// speed from the first report it receives. Not thread-safe.
 class SpeedModel
 {
 public:
   explicit SpeedModel(const SpeedPriors& aPriors);
 
-  /// Index of a machine class, which is added where it is new.
+  /// Returns the index of a machine class, and adds the class if it is new.
   [[nodiscard]] std::size_t IndexOf(std::string_view aMachineClass);
 
   [[nodiscard]] const MachineSpeed& Get(std::size_t aIndex) const
@@ -68,40 +68,42 @@
     return this->classes[aIndex].speed;
   }
 
-  /// Time to the first token of a request that found little ahead of it but about aSequences running.
+  /// Observes the time to first token of a request that found little queued ahead but about aSequences running.
   void ObservePrefill(std::size_t aIndex, int aUncachedTokens, double aSequences, double aSeconds);
 
-  /// Time between two tokens while the batch held about aSequences.
+  /// Observes the time between two tokens with about aSequences in the batch.
   void ObserveStep(std::size_t aIndex, double aSequences, double aSeconds);
 
-  /// First token of a request to an endpoint that tells no load; see SpeedEnvelope::OnPrompt().
+  /// Observes the first token of a request to an endpoint that does not report its load; see SpeedEnvelope::OnPrompt().
   void ObserveFreshPrompt(std::size_t aIndex, TimePoint aNow, int aFreshTokens, double aSeconds);
 
-  /// Tokens that followed each other there; see SpeedEnvelope::OnStep().
+  /// Observes consecutive tokens from such an endpoint; see SpeedEnvelope::OnStep().
   void ObserveTokens(std::size_t aIndex, TimePoint aNow, double aSequences,
                      double aSecondsPerToken);
 
-  /// Concludes from what was observed. To be called some times a second; Get() changes only here.
+  /// Updates the speeds in use from SpeedEnvelope samples and peer reports. To be called a few times per second. For
+  /// endpoints that do not report their load, Get() changes only here.
   void Refresh(TimePoint aNow);
 
-  /// Whether the speed of a class was learned from its answers, here or by a daemon that has told of it.
+  /// Whether the speed of a class was learned from responses, by this daemon or by one whose report is in use.
   [[nodiscard]] bool IsLearned(std::size_t aIndex) const
   {
     return this->classes[aIndex].local || !this->classes[aIndex].peerReports.empty();
   }
 
-  /// What this daemon itself has learned from answers.
+  /// Speeds that this daemon has learned from responses.
   [[nodiscard]] std::vector<SpeedReport> Learned() const;
 
-  /// What is in use for all classes whose speed was learned.
+  /// Speeds in use, for all classes whose speed was learned.
   [[nodiscard]] std::vector<SpeedReport> InUse() const;
 
-  /// Another daemon has told what it has learned, or has in use.
-  /// @param aSource  names that daemon
+  /// Handles a report of another daemon, with its learned speed or its speed in use. Reports with values that are not
+  /// finite or out of range are ignored.
+  /// @param aSource  identifies that daemon
   void OnPeerReport(std::uint64_t aSource, const SpeedReport& aReport, TimePoint aNow);
 
-  /// A load report: an engine where requests wait is full, and one that runs more than it was thought to
-  /// can run that many.
+  /// Handles a load report. An engine with waiting requests is full; one that runs more sequences than assumed can run
+  /// that many.
   void ObserveLoad(std::size_t aIndex, int aWaiting, int aRunning);
 
 private:
@@ -116,16 +118,17 @@
     std::string name;
     MachineSpeed speed; ///< In use.
     SpeedEnvelope envelope;
-    std::optional<SpeedReport> local;     ///< As this daemon has learned it.
-    TimePoint learnedAt;              ///< When it was last learned.
-    std::map<std::uint64_t, PeerReport> peerReports; ///< By daemon.
+    std::optional<SpeedReport> local;                ///< Learned by this daemon.
+    TimePoint learnedAt;                             ///< Time of the last update of `local`.
+    std::map<std::uint64_t, PeerReport> peerReports; ///< By reporting daemon.
   };
 
-  /// Follows what the answers seen here show now.
+  /// Moves the local report towards the current estimate of the envelope.
   void UpdateLocal(MachineClass& aClass, TimePoint aNow) const;
-  /// Brings own and told together.
+  /// Sets the speed in use to the median of the local and the peer reports.
   void CombineReports(MachineClass& aClass, TimePoint aNow) const;
 
+  /// Limits a learned value to SpeedPriors::maxPriorRatio around its prior.
   [[nodiscard]] double ClampToPrior(double aValue, double aPrior) const;
 
   SpeedPriors priors;
--- a/UnitTests/Routing/RouterTests.cpp
+++ b/UnitTests/Routing/RouterTests.cpp
@@ -313,8 +313,8 @@
   BOOST_TEST(this->router.Pressure(call) == 0.5);
 }
 
-/// Load pattern: an endpoint that takes next to nothing beside a full one. Grounds: its free places are no room, so what
-/// comes beyond the others must be shed as if it were not there.
+/// Load pattern: an endpoint that takes next to nothing beside a full one. Grounds: its free places are no room, so
+/// what comes beyond the others must be shed as if it were not there.
 BOOST_AUTO_TEST_CASE(PlacesOfAnExcludedEndpointAreNoRoom)
 {
   RouteRequest call;
--- a/UnitTests/Routing/SpeedModelTests.cpp
+++ b/UnitTests/Routing/SpeedModelTests.cpp
@@ -30,7 +30,8 @@
   for (int observation = 0; observation < 100; ++observation) {
     model.ObserveStep(index, 1, 3600);
   }
-  BOOST_TEST(model.Get(index).stepBaseSeconds <= priors.stepBaseSeconds * priors.maxPriorRatio * 1.001);
+  BOOST_TEST(model.Get(index).stepBaseSeconds <=
+             priors.stepBaseSeconds * priors.maxPriorRatio * 1.001);
 }
 
 BOOST_AUTO_TEST_CASE(ReportsShowHowManySequencesRun)
