--- a/Lagoonward/Routing/RouteChoice.h
+++ b/Lagoonward/Routing/RouteChoice.h
@@ -39,7 +39,7 @@
   double betweenTokensSeconds = 0; ///< Predicted.
   int priority = 0;                ///< Priority to send to the engine; see EnginePriority().
   int cachedTokens = 0; ///< Prompt tokens expected in the endpoint's cache, including fetched ones.
-  int scoredEndpoints = 0; ///< Number of eligible endpoints.
+  int scoredEndpoints = 0; ///< Endpoints that were eligible and scored.
   /// Index of the endpoint from which the cached prefix is to be fetched, if any; `cachedTokens` includes it.
   std::optional<std::uint32_t> fetchFrom;
 
--- a/Lagoonward/Routing/RouteRequest.h
+++ b/Lagoonward/Routing/RouteRequest.h
@@ -19,9 +19,8 @@
   std::string_view service;        ///< The plain service's name; empty for a model.
 
   Milliseconds firstToken{ 0 }; ///< The class's target for the time to first token; zero for none.
-  Milliseconds betweenTokens{
-    0
-  };                ///< The class's target for the time between tokens; zero for none.
+  /// The class's target for the time between tokens; zero for none.
+  Milliseconds betweenTokens{ 0 };
   int priority = 0; ///< The class's priority; higher values are served first.
   TimePoint deadline = TimePoint::max();
 
--- a/Lagoonward/Routing/Router.cpp
+++ b/Lagoonward/Routing/Router.cpp
@@ -46,21 +46,21 @@
 
   // No slow start for the endpoints of the first table: slow start is relative, so it has no effect if all are new
   const TimePoint firstSeen = this->table ? now : now - this->settings.slowStart;
-  std::vector<EndpointActivity> activitiesKept;
-  std::unordered_map<std::uint64_t, std::uint32_t> places;
-  activitiesKept.reserve(aTable->Targets().size());
+  std::vector<EndpointActivity> newActivities;
+  std::unordered_map<std::uint64_t, std::uint32_t> newTargetByKey;
+  newActivities.reserve(aTable->Targets().size());
   this->targetByTag.clear();
   this->keyByIdHash.clear();
   for (const RoutingTarget& target : aTable->Targets()) {
-    const auto index = static_cast<std::uint32_t>(activitiesKept.size());
+    const auto index = static_cast<std::uint32_t>(newActivities.size());
     const EndpointActivity* known = this->FindActivity(target.key);
-    activitiesKept.push_back(known != nullptr ? *known : EndpointActivity(target.key, firstSeen));
-    places.emplace(target.key, index);
+    newActivities.push_back(known != nullptr ? *known : EndpointActivity(target.key, firstSeen));
+    newTargetByKey.emplace(target.key, index);
     this->keyByIdHash.emplace(HashBytes(target.id), target.key);
     this->targetByTag.emplace(PrefixIndex::TagOf(target.key), index);
   }
   for (const EndpointActivity& activity : this->activities) {
-    if (places.count(activity.Key()) == 0) {
+    if (newTargetByKey.count(activity.Key()) == 0) {
       this->prefixes.OnReset(activity.Key());
     }
   }
@@ -73,11 +73,11 @@
     this->speed.ObserveLoad(this->speedIndices[target.machineClass], target.waiting,
                             target.running);
   }
-  this->activities = std::move(activitiesKept);
+  this->activities = std::move(newActivities);
   this->ownInFlight = std::accumulate(
     this->activities.begin(), this->activities.end(), 0,
     [](int aSum, const EndpointActivity& aActivity) { return aSum + aActivity.InFlight(); });
-  this->targetByKey = std::move(places);
+  this->targetByKey = std::move(newTargetByKey);
   this->table = std::move(aTable);
 }
 
@@ -110,7 +110,7 @@
   }
 
   // Choose the cheapest endpoint that finishes by the deadline
-  const double left = ToSeconds(aRequest.deadline - context.now);
+  const double secondsLeft = ToSeconds(aRequest.deadline - context.now);
   RoutingSettings scoreSettings = this->settings;
   scoreSettings.spread = this->PredictionSpread();
   RouteChoice choice;
@@ -131,7 +131,7 @@
     earliest = eligible == 0 ? score.finishSeconds : std::min(earliest, score.finishSeconds);
     ++eligible;
     const double total = score.cost.Total();
-    if (score.finishSeconds <= left && (choice.scoredEndpoints == 0 || total < best)) {
+    if (score.finishSeconds <= secondsLeft && (choice.scoredEndpoints == 0 || total < best)) {
       best = total;
       choice.endpoint = target;
       choice.cost = score.cost;
@@ -148,7 +148,7 @@
       .WithRetryAfter(this->settings.retryAfterFloor);
   }
   if (choice.scoredEndpoints == 0) {
-    const auto excess = std::chrono::duration<double>(earliest - left);
+    const auto excess = std::chrono::duration<double>(earliest - secondsLeft);
     const auto wait = std::chrono::duration_cast<Milliseconds>(excess);
     return Error(ErrorKind::DeadlineUnreachable,
                  fmt::format("the earliest predicted response is {} ms after the deadline",
@@ -201,8 +201,8 @@
     auto* const end = std::remove_if(
       aContext.holders.data(), aContext.holders.data() + aContext.holderCount,
       [&](const PrefixHolder& aHolder) {
-        const auto place = this->targetByTag.find(aHolder.tag);
-        return place == this->targetByTag.end() || !aContext.group->Contains(place->second);
+        const auto found = this->targetByTag.find(aHolder.tag);
+        return found == this->targetByTag.end() || !aContext.group->Contains(found->second);
       });
     aContext.holderCount = static_cast<std::size_t>(end - aContext.holders.data());
     this->FindHomes(aRequest, aContext);
@@ -272,12 +272,13 @@
   const RoutingTarget& target = this->table->Targets()[aTarget];
   // A new endpoint is assumed to be at least as fast as the average, so that it receives its first calls
   const double learned = this->activities[aTarget].ExpectedCallSeconds();
-  const double usual = this->totalActivity.ExpectedCallSeconds();
-  const double unknown = usual > 0 ? std::min(usual, this->settings.speed.serviceCallSeconds)
-                                   : this->settings.speed.serviceCallSeconds;
+  const double average = this->totalActivity.ExpectedCallSeconds();
+  const double unknown = average > 0 ? std::min(average, this->settings.speed.serviceCallSeconds)
+                                     : this->settings.speed.serviceCallSeconds;
   const double call = learned > 0 ? learned : unknown;
-  const double places = std::max(target.sequences, 1);
-  const double occupancy = this->EstimatedSequences(aTarget, this->PeerFactor(target)) / places;
+  const double concurrency = std::max(target.sequences, 1);
+  const double occupancy =
+    this->EstimatedSequences(aTarget, this->PeerFactor(target)) / concurrency;
   RouteScore score;
   score.firstTokenSeconds = this->settings.networkSeconds + call * (1 + occupancy);
   score.finishSeconds = score.firstTokenSeconds;
@@ -314,10 +315,10 @@
 {
   // The other daemons apply the same rules to the same reports. This daemon's dispatches predict where the others have
   // dispatched the better, the more of them there are per endpoint
-  const double missed = this->totalActivity.DispatchedSince(aTarget.asOf);
+  const double unreported = this->totalActivity.DispatchedSince(aTarget.asOf);
   const double prior =
     this->settings.peerPrior * static_cast<double>(this->table->Targets().size());
-  return missed > 0 ? 1 + (this->liveDaemons - 1) * missed / (missed + prior) : 1;
+  return unreported > 0 ? 1 + (this->liveDaemons - 1) * unreported / (unreported + prior) : 1;
 }
 
 double
@@ -401,13 +402,13 @@
 Router::EstimateFetch(std::uint32_t aTarget, const DecisionContext& aContext,
                       EndpointEstimate& aEstimate) const
 {
-  const double more = aEstimate.bestCachedTokens - aEstimate.cachedTokens;
+  const double missingTokens = aEstimate.bestCachedTokens - aEstimate.cachedTokens;
   const double perToken = this->table->Targets()[aTarget].fetchSecondsPerToken;
   const auto holder = this->BestHolder(aContext);
   const bool isFast = perToken > 0 && perToken <= aEstimate.speed.prefillSecondsPerToken *
                                                     this->settings.maxFetchTimeRatio;
-  if (holder && *holder != aTarget && isFast && more >= this->settings.minFetchedTokens) {
-    aEstimate.fetchedTokens = more;
+  if (holder && *holder != aTarget && isFast && missingTokens >= this->settings.minFetchedTokens) {
+    aEstimate.fetchedTokens = missingTokens;
     aEstimate.fetchSecondsPerToken = perToken;
   }
 }
@@ -423,9 +424,9 @@
 Router::IsAllowed(std::string_view aEndpointId) const
 {
   const std::lock_guard lock(this->mutex);
-  const auto place = this->targetByKey.find(this->KeyOf(aEndpointId));
-  return place == this->targetByKey.end() ||
-         this->activities[place->second].breaker.Allows(this->settings.breaker, this->clock.Now());
+  const auto found = this->targetByKey.find(this->KeyOf(aEndpointId));
+  return found == this->targetByKey.end() ||
+         this->activities[found->second].breaker.Allows(this->settings.breaker, this->clock.Now());
 }
 
 std::uint64_t
@@ -439,8 +440,8 @@
 EndpointActivity*
 Router::FindActivity(std::uint64_t aKey)
 {
-  const auto place = this->targetByKey.find(aKey);
-  return place == this->targetByKey.end() ? nullptr : &this->activities[place->second];
+  const auto found = this->targetByKey.find(aKey);
+  return found == this->targetByKey.end() ? nullptr : &this->activities[found->second];
 }
 
 std::uint64_t
--- a/Lagoonward/Routing/Router.h
+++ b/Lagoonward/Routing/Router.h
@@ -174,6 +174,7 @@
   /// Endpoint that holds the longest prefix of the prompt, if any.
   [[nodiscard]] std::optional<std::uint32_t> BestHolder(const DecisionContext& aContext) const;
   [[nodiscard]] double EstimatedSequences(std::uint32_t aTarget, double aPeerFactor) const;
+  /// Factor from this daemon's dispatches since a load report to the estimated dispatches of all daemons.
   [[nodiscard]] double PeerFactor(const RoutingTarget& aTarget) const;
   /// Predicted time and cost of a plain call at an endpoint.
   [[nodiscard]] RouteScore ScoreCall(std::uint32_t aTarget) const;
--- a/Lagoonward/Routing/RouterLearning.cpp
+++ b/Lagoonward/Routing/RouterLearning.cpp
@@ -167,7 +167,7 @@
     return 0;
   }
   double occupied = 0;
-  double places = 0;
+  double concurrency = 0;
   for (const std::uint32_t target : group.value()->targets) {
     const RoutingTarget& each = this->table->Targets()[target];
     const auto& excluded = aRequest.excludedEndpoints;
@@ -176,10 +176,11 @@
     }
     occupied += this->EstimatedSequences(target, this->PeerFactor(each));
     // A concurrency reported by the endpoint takes precedence over the assumption for its class
-    places += each.sequences > 0 ? each.sequences
-                                 : this->speed.Get(this->speedIndices[each.machineClass]).sequences;
+    concurrency += each.sequences > 0
+                     ? each.sequences
+                     : this->speed.Get(this->speedIndices[each.machineClass]).sequences;
   }
-  return places > 0 ? occupied / places : 0;
+  return concurrency > 0 ? occupied / concurrency : 0;
 }
 
 std::vector<EndpointCount>
@@ -221,20 +222,20 @@
   if (isEngine && !this->speed.IsLearned(index)) {
     return std::nullopt;
   }
-  double places = known.sequences;
+  double concurrency = known.sequences;
   if (this->table) {
     for (const RoutingTarget& target : this->table->Targets()) {
       if (this->table->MachineClasses()[target.machineClass] == aService && target.sequences > 0) {
-        places = target.sequences;
+        concurrency = target.sequences;
       }
     }
   }
   // The base time of a step is shared by all sequences that run concurrently
-  places = std::max(places, 1.0);
+  concurrency = std::max(concurrency, 1.0);
   const double call = std::max(this->totalActivity.ExpectedCallSeconds(), 0.0);
   return aWork.promptTokens * known.prefillSecondsPerToken +
-         aWork.outputTokens * (known.stepPerSequenceSeconds + known.stepBaseSeconds / places) +
-         aWork.calls * call / places;
+         aWork.outputTokens * (known.stepPerSequenceSeconds + known.stepBaseSeconds / concurrency) +
+         aWork.calls * call / concurrency;
 }
 
 std::vector<SpeedReport>
--- a/Lagoonward/Routing/RoutingTable.cpp
+++ b/Lagoonward/Routing/RoutingTable.cpp
@@ -151,12 +151,12 @@
   const auto less = [](const RoutingGroup& aGroup, std::uint64_t aOther) {
     return aGroup.key < aOther;
   };
-  auto place = std::lower_bound(this->groups.begin(), this->groups.end(), aKey, less);
-  if (place == this->groups.end() || place->key != aKey) {
-    place = this->groups.insert(place, { std::string(aName), aKey, {}, {}, {} });
+  auto found = std::lower_bound(this->groups.begin(), this->groups.end(), aKey, less);
+  if (found == this->groups.end() || found->key != aKey) {
+    found = this->groups.insert(found, { std::string(aName), aKey, {}, {}, {} });
   }
   if (this->targets[aTarget].live) {
-    place->targets.push_back(aTarget);
+    found->targets.push_back(aTarget);
   }
 }
 
@@ -228,9 +228,9 @@
   const auto less = [](const RoutingGroup& aGroup, std::uint64_t aOther) {
     return aGroup.key < aOther;
   };
-  const auto place = std::lower_bound(this->groups.begin(), this->groups.end(), key, less);
-  if (place != this->groups.end() && place->key == key) {
-    return &*place;
+  const auto found = std::lower_bound(this->groups.begin(), this->groups.end(), key, less);
+  if (found != this->groups.end() && found->key == key) {
+    return &*found;
   }
   if (aRequest.model.empty()) {
     return Error(ErrorKind::UnknownService,
@@ -243,8 +243,8 @@
 int
 RoutingTable::RankOf(int aPriority) const
 {
-  const auto place = std::lower_bound(this->priorities.begin(), this->priorities.end(), aPriority);
-  return std::min(static_cast<int>(place - this->priorities.begin()), kMaxRank);
+  const auto found = std::lower_bound(this->priorities.begin(), this->priorities.end(), aPriority);
+  return std::min(static_cast<int>(found - this->priorities.begin()), kMaxRank);
 }
 
 } // namespace lagoonward
--- a/Lagoonward/Routing/SpeedEnvelope.cpp
+++ b/Lagoonward/Routing/SpeedEnvelope.cpp
@@ -12,9 +12,9 @@
 Quantile(std::vector<double>& aValues, double aFraction)
 {
   const auto last = static_cast<double>(aValues.size() - 1);
-  const auto place = aValues.begin() + static_cast<std::ptrdiff_t>(aFraction * last);
-  std::nth_element(aValues.begin(), place, aValues.end());
-  return *place;
+  const auto nth = aValues.begin() + static_cast<std::ptrdiff_t>(aFraction * last);
+  std::nth_element(aValues.begin(), nth, aValues.end());
+  return *nth;
 }
 
 } // namespace
