--- a/UnitTests/Routing/HedgePolicyTests.cpp
+++ b/UnitTests/Routing/HedgePolicyTests.cpp
@@ -15,11 +15,11 @@
   state.deadline = TimePoint(Seconds(110));
   state.firstTokenSeconds = 1;
   state.secondAttemptSeconds = 4;
-  BOOST_TEST(!ShouldHedge(state, TimePoint(Seconds(103)), settings)); // overdue, but time is left
+  BOOST_TEST(!ShouldHedge(state, TimePoint(Seconds(103)), settings)); // Overdue, but time is left
   BOOST_TEST(ShouldHedge(state, TimePoint(Seconds(105)), settings));
-  BOOST_TEST(!ShouldHedge(state, TimePoint(Seconds(107)), settings)); // could not make it either
+  BOOST_TEST(!ShouldHedge(state, TimePoint(Seconds(107)), settings)); // Second would be late too
   state.firstTokenSeconds = 3;
-  BOOST_TEST(!ShouldHedge(state, TimePoint(Seconds(105)), settings)); // not overdue yet
+  BOOST_TEST(!ShouldHedge(state, TimePoint(Seconds(105)), settings)); // Not overdue yet
   state.firstTokenSeconds = 1;
   state.hasFirstToken = true;
   BOOST_TEST(!ShouldHedge(state, TimePoint(Seconds(105)), settings));
--- a/UnitTests/Routing/MovePolicyTests.cpp
+++ b/UnitTests/Routing/MovePolicyTests.cpp
@@ -22,14 +22,14 @@
 
 BOOST_AUTO_TEST_SUITE(MovePolicyTests)
 
-BOOST_AUTO_TEST_CASE(FinishesInPlaceWhatIsDoneInTime)
+BOOST_AUTO_TEST_CASE(StreamsThatEndBeforeTerminationFinishInPlace)
 {
   MoveState state = MakeStream();
   state.tokensLeft = 100;
   BOOST_TEST((PlanMove(state, {}).kind == HostExit::FinishInPlace));
 }
 
-BOOST_AUTO_TEST_CASE(GivesEachTransferASlotBeforeTheHostGoes)
+BOOST_AUTO_TEST_CASE(TransfersGetDisjointSlotsBeforeTermination)
 {
   const MoveSettings settings;
   MoveState state = MakeStream();
@@ -43,7 +43,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(ResumesWhatCannotBeTransferred)
+BOOST_AUTO_TEST_CASE(StreamsThatCannotBeTransferredAreResumed)
 {
   MoveState state = MakeStream();
   state.canTransfer = false;
--- a/UnitTests/Routing/PrefixIndexTests.cpp
+++ b/UnitTests/Routing/PrefixIndexTests.cpp
@@ -42,7 +42,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(PrefixIndexTests, Fixture)
 
-BOOST_AUTO_TEST_CASE(KnowsHowDeepEachEndpointGoes)
+BOOST_AUTO_TEST_CASE(FindReturnsCachedPrefixLengthPerEndpoint)
 {
   const std::span all(this->blocks);
   this->index.OnStored(11, all.first(80));
@@ -54,7 +54,7 @@
   BOOST_TEST(found.at(21) >= 30 * 64 * this->settings.dispatchedConfidence);
 }
 
-BOOST_AUTO_TEST_CASE(ForgetsWhatIsEvictedGoneOrOld)
+BOOST_AUTO_TEST_CASE(EvictedResetAndExpiredEntriesAreNotFound)
 {
   this->index.OnStored(11, this->blocks);
   this->index.OnEvicted(11, this->blocks);
@@ -67,7 +67,7 @@
   BOOST_TEST(this->Find().empty());
 }
 
-BOOST_AUTO_TEST_CASE(TrustsLessAfterAGap)
+BOOST_AUTO_TEST_CASE(EventGapReducesConfidenceInOlderEntries)
 {
   this->index.OnStored(11, this->blocks);
   this->clock.Advance(Seconds(1));
@@ -77,7 +77,7 @@
   BOOST_TEST(this->Find().at(11) == 6400);
 }
 
-BOOST_AUTO_TEST_CASE(StaysWithinItsMemory)
+BOOST_AUTO_TEST_CASE(OldestBlocksAreEvictedAtCapacity)
 {
   this->settings.capacity = 64;
   PrefixIndex small(this->settings, this->clock);
--- a/UnitTests/Routing/RouterCallTests.cpp
+++ b/UnitTests/Routing/RouterCallTests.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Endpoints of one plain service that do not tell their load.
+/// Endpoints of one plain service that do not report their load.
 struct Fixture
 {
   explicit Fixture(int aEndpoints)
@@ -36,13 +36,13 @@
     return request;
   }
 
-  /// Makes one call that takes so long and ends so.
-  std::string Call(Milliseconds aSpan, DispatchOutcome aOutcome)
+  /// Makes one call with the given duration and outcome; returns the chosen endpoint.
+  std::string Call(Milliseconds aDuration, DispatchOutcome aOutcome)
   {
     const auto choice = this->router.Choose(Request());
     BOOST_REQUIRE(choice.has_value());
     Dispatch dispatch = this->router.OnDispatched(choice.value(), Request());
-    this->clock.Advance(aSpan);
+    this->clock.Advance(aDuration);
     this->router.OnFinished(dispatch, aOutcome);
     return choice.value().Target().id;
   }
@@ -57,7 +57,7 @@
 
 BOOST_AUTO_TEST_SUITE(RouterCallTests)
 
-BOOST_AUTO_TEST_CASE(SpreadsCallsOverEndpointsThatAreAlike)
+BOOST_AUTO_TEST_CASE(CallsAreSpreadOverEqualEndpoints)
 {
   Fixture fixture(4);
   std::map<std::string, int> counts;
@@ -71,18 +71,18 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(AvoidsAnEndpointThatFailsPartOfItsCalls)
+BOOST_AUTO_TEST_CASE(EndpointThatFailsSomeOfItsCallsIsAvoided)
 {
   Fixture fixture(4);
   std::map<std::string, int> counts;
-  int turn = 0;
+  int callsToE0 = 0;
   for (int call = 0; call < 400; ++call) {
     const auto choice = fixture.router.Choose(Fixture::Request());
     const std::string id = choice.value().Target().id;
     Dispatch dispatch = fixture.router.OnDispatched(choice.value(), Fixture::Request());
     fixture.clock.Advance(Milliseconds(20));
-    // Two in five fail, never three in a row, so that the circuit breaker does not see it
-    const bool fails = id == "e0" && ++turn % 5 < 2;
+    // Two of five calls fail, never three in a row, so that the circuit breaker does not open
+    const bool fails = id == "e0" && ++callsToE0 % 5 < 2;
     fixture.router.OnFinished(dispatch,
                               fails ? DispatchOutcome::Failed : DispatchOutcome::Completed);
     ++counts[id];
@@ -90,7 +90,7 @@
   BOOST_TEST(counts["e0"] < 40);
 }
 
-BOOST_AUTO_TEST_CASE(CountsWhatTheOtherDaemonsHaveInFlight)
+BOOST_AUTO_TEST_CASE(PeerInFlightCountsAreUsedUntilTheyExpire)
 {
   Fixture fixture(2);
   const RoutingTablePtr table = RoutingTable::Build(fixture.fleet, fixture.manifest, fixture.clock);
@@ -99,7 +99,7 @@
   for (int call = 0; call < 20; ++call) {
     BOOST_TEST(fixture.Call(Milliseconds(5), DispatchOutcome::Completed) == "e1");
   }
-  // What was told once is not believed for ever
+  // The counts expire
   fixture.clock.Advance(Seconds(5));
   std::map<std::string, int> counts;
   for (int call = 0; call < 40; ++call) {
@@ -108,7 +108,7 @@
   BOOST_TEST(counts["e0"] > 5);
 }
 
-BOOST_AUTO_TEST_CASE(TellsWhatIsInFlight)
+BOOST_AUTO_TEST_CASE(OwnInFlightCountsUnfinishedDispatches)
 {
   Fixture fixture(1);
   const auto choice = fixture.router.Choose(Fixture::Request());
--- a/UnitTests/Routing/RouterTests.cpp
+++ b/UnitTests/Routing/RouterTests.cpp
@@ -76,7 +76,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(RouterTests, Fixture)
 
-BOOST_AUTO_TEST_CASE(TakesTheCheaperOfEqualEndpoints)
+BOOST_AUTO_TEST_CASE(ChoosesTheCheaperOfEqualEndpoints)
 {
   const auto choice = this->router.Choose(this->Request());
   BOOST_REQUIRE(choice.has_value());
@@ -85,7 +85,7 @@
   BOOST_TEST(choice.value().Describe().find("endpoint a in north") == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(HonoursModelAdapterAndVersionExactly)
+BOOST_AUTO_TEST_CASE(MatchesModelAdapterAndVersionExactly)
 {
   RouteRequest request = this->Request();
   request.version = "2";
@@ -93,7 +93,7 @@
   request.version = "1";
   request.adapter = "letters";
   BOOST_TEST(this->router.Choose(request).has_value());
-  request.adapterVersion = "2"; // declared, but loaded nowhere
+  request.adapterVersion = "2"; // Declared, but loaded at no endpoint
   BOOST_TEST((this->router.Choose(request).error().kind == ErrorKind::NoEndpoint));
   request.adapterVersion = "4";
   BOOST_TEST((this->router.Choose(request).error().kind == ErrorKind::UnknownModel));
@@ -110,14 +110,14 @@
   BOOST_TEST((this->router.Choose(request).error().kind == ErrorKind::UnknownService));
 }
 
-BOOST_AUTO_TEST_CASE(FollowsThePrefixToADearerEndpoint)
+BOOST_AUTO_TEST_CASE(ChoosesAMoreExpensiveEndpointThatHasThePrefixCached)
 {
   RouteRequest request = this->Request();
   request.prefixBlocks = this->blocks;
   this->router.OnCacheEvents("b", this->blocks, {}, false);
-  const auto held = this->router.Choose(request);
-  BOOST_TEST(held.value().Target().id == "b");
-  BOOST_TEST(held.value().cachedTokens > 6000);
+  const auto cached = this->router.Choose(request);
+  BOOST_TEST(cached.value().Target().id == "b");
+  BOOST_TEST(cached.value().cachedTokens > 6000);
   this->router.OnCacheEvents("b", {}, this->blocks, false);
   BOOST_TEST(this->router.Choose(request).value().cachedTokens == 0);
 }
@@ -132,21 +132,21 @@
   this->clock.Advance(Milliseconds(1));
   Dispatch dispatch = this->router.OnDispatched(first.value(), urgent);
 
-  // Its prefill takes most of the target: another urgent request must not wait behind it
+  // The prefill takes most of the target, so another urgent request must not wait behind it
   BOOST_TEST(this->router.Choose(urgent).value().Target().id == "b");
   this->router.OnFinished(dispatch, DispatchOutcome::Completed);
   this->router.OnFinished(dispatch, DispatchOutcome::Completed);
   BOOST_TEST(this->router.Choose(urgent).value().Target().id == "a");
 }
 
-BOOST_AUTO_TEST_CASE(SendsNothingNewToLeavingEndpoints)
+BOOST_AUTO_TEST_CASE(LeavingEndpointsGetNoNewRequests)
 {
   this->fleet.endpoints[0].state = EndpointState::Leaving;
   this->Publish();
   BOOST_TEST(this->router.Choose(this->Request()).value().Target().id == "b");
 }
 
-BOOST_AUTO_TEST_CASE(LeavesOutWhatTheRequestExcludes)
+BOOST_AUTO_TEST_CASE(ExcludedEndpointsAndDomainsAreNotChosen)
 {
   RouteRequest request = this->Request();
   const std::array<std::string_view, 1> endpoints{ "a" };
@@ -159,7 +159,7 @@
   BOOST_TEST((none.error().ran == Ran::No));
 }
 
-BOOST_AUTO_TEST_CASE(RefusesWhatCannotMeetItsDeadline)
+BOOST_AUTO_TEST_CASE(RequestsThatCannotMeetTheirDeadlineAreRefused)
 {
   RouteRequest request = this->Request();
   request.deadline = this->clock.Now() + Milliseconds(100);
@@ -190,7 +190,7 @@
 
 BOOST_AUTO_TEST_CASE(ObjectiveWeightsChangeTheChoice)
 {
-  // Endpoint b has the prefix, a is cheaper: whoever fears recomputation follows the prefix
+  // Endpoint b has the prefix and a is cheaper: a high weight of recomputation prefers b
   this->fleet.endpoints[1].pricePerHour = 8;
   this->Publish();
   RouteRequest request = this->Request();
@@ -202,7 +202,7 @@
   BOOST_TEST(this->router.Choose(request).value().Target().id == "b");
 }
 
-BOOST_AUTO_TEST_CASE(NewEndpointsStartSlowly)
+BOOST_AUTO_TEST_CASE(NewEndpointsAreAvoidedDuringSlowStart)
 {
   this->fleet.endpoints.push_back(MakeEngine("c", "south", 0.5));
   this->fleet.endpoints[2].state = EndpointState::Ejected;
@@ -218,7 +218,7 @@
   BOOST_TEST(this->router.Choose(this->Request()).value().Target().id == "c");
 }
 
-BOOST_AUTO_TEST_CASE(KeepsItsCountsAcrossTables)
+BOOST_AUTO_TEST_CASE(InFlightCountsSurviveATableUpdate)
 {
   const auto choice = this->router.Choose(this->Request());
   Dispatch dispatch = this->router.OnDispatched(choice.value(), this->Request());
@@ -229,9 +229,9 @@
   BOOST_TEST(this->router.Pressure(this->Request()) == 0);
 }
 
-BOOST_AUTO_TEST_CASE(ALaterLifeOfAnEndpointHoldsAndKnowsNothingOfTheEarlierOne)
+BOOST_AUTO_TEST_CASE(NewIncarnationOfAnEndpointInheritsNoState)
 {
-  // Known of the first life: cached blocks, requests in flight, failures
+  // State of the first incarnation: cached blocks, requests in flight, failures
   this->fleet.endpoints[0].born = 1000;
   this->Publish();
   RouteRequest request = this->Request();
@@ -253,17 +253,17 @@
   BOOST_TEST(second.value().cachedTokens == 0);
   BOOST_TEST(this->router.OwnInFlight().empty());
 
-  // What comes of requests to the first life says nothing about the second
+  // Results of requests to the first incarnation do not affect the second
   this->router.OnFinished(dispatch, DispatchOutcome::Failed);
   BOOST_TEST(this->router.OwnInFlight().empty());
   BOOST_TEST(this->router.Choose(request).has_value());
 }
 
-/// Load pattern: many requests about one long document, whose keeper is full or leaves them. Grounds: at the stated
-/// rates 6,300 tokens are copied in a third of the time of reading them.
-BOOST_AUTO_TEST_CASE(FetchesAKeptPromptInsteadOfReadingItAgain)
+/// Load pattern: many requests about one long document, whose prefix is cached at an endpoint that is at capacity or
+/// leaving. Reason: at the given rates, 6,300 tokens are fetched in a third of the time of prefilling them.
+BOOST_AUTO_TEST_CASE(FetchesACachedPrefixInsteadOfRecomputingIt)
 {
-  const double reading = 1 / this->settings.speed.prefillTokensPerSecond;
+  const double prefillSeconds = 1 / this->settings.speed.prefillTokensPerSecond;
   const auto choose = [&](double aFetchSeconds, std::size_t aBlocks) {
     for (Endpoint& endpoint : this->fleet.endpoints) {
       endpoint.fetchSecondsPerToken = aFetchSeconds;
@@ -277,19 +277,19 @@
     request.onlyEndpoint = "b";
     return this->router.Choose(request).value();
   };
-  // Neither a slow link nor a short beginning is worth it
-  BOOST_TEST(!choose(reading * 0.9, 100).fetchFrom.has_value());
+  // No fetch over a slow link, with an unknown rate, or of a short prefix
+  BOOST_TEST(!choose(prefillSeconds * 0.9, 100).fetchFrom.has_value());
   BOOST_TEST(!choose(0, 100).fetchFrom.has_value());
-  BOOST_TEST(!choose(reading / 3, 10).fetchFrom.has_value());
+  BOOST_TEST(!choose(prefillSeconds / 3, 10).fetchFrom.has_value());
 
-  const RouteChoice read = choose(0, 100);
-  const RouteChoice fetched = choose(reading / 3, 100);
+  const RouteChoice prefilled = choose(0, 100);
+  const RouteChoice fetched = choose(prefillSeconds / 3, 100);
   BOOST_REQUIRE(fetched.fetchFrom.has_value());
   BOOST_TEST(fetched.table->Targets()[*fetched.fetchFrom].id == "a");
   BOOST_TEST(fetched.cachedTokens > 6000);
-  BOOST_TEST(fetched.firstTokenSeconds < read.firstTokenSeconds / 2);
+  BOOST_TEST(fetched.firstTokenSeconds < prefilled.firstTokenSeconds / 2);
 
-  // Once it is there, there is nothing to fetch
+  // No fetch once the prefix is cached at the endpoint
   RouteRequest request = this->Request();
   request.prefixBlocks = this->blocks;
   request.onlyEndpoint = "b";
@@ -298,9 +298,10 @@
   BOOST_TEST(!this->router.Choose(request).value().fetchFrom.has_value());
 }
 
-/// Load pattern: endpoints that run far more at once than is assumed of an unknown one. Grounds: with 24 places assumed
-/// where there are 64, requests were refused as if all places were taken, 28 in 1,000 of a day's instead of 5.
-BOOST_AUTO_TEST_CASE(PressureCountsThePlacesThatEndpointsTellOf)
+/// Load pattern: endpoints that run far more sequences concurrently than is assumed of an unknown one. Guards against
+/// requests being refused as if all sequences were in use: with 24 assumed where there were 64, 28 in 1,000 requests of
+/// a day were refused instead of 5.
+BOOST_AUTO_TEST_CASE(PressureUsesTheConcurrencyThatEndpointsReport)
 {
   RouteRequest call;
   call.service = "portal";
@@ -313,9 +314,9 @@
   BOOST_TEST(this->router.Pressure(call) == 0.5);
 }
 
-/// Load pattern: an endpoint that takes next to nothing beside a full one. Grounds: its free places are no room, so
-/// what comes beyond the others must be shed as if it were not there.
-BOOST_AUTO_TEST_CASE(PlacesOfAnExcludedEndpointAreNoRoom)
+/// Load pattern: an endpoint that accepts almost no requests beside a full one. Its free sequences are not usable
+/// capacity: requests beyond the capacity of the other endpoints must be shed as if it did not exist.
+BOOST_AUTO_TEST_CASE(PressureExcludesTheCapacityOfExcludedEndpoints)
 {
   RouteRequest call;
   call.service = "portal";
@@ -325,8 +326,8 @@
   second.id = "second";
   this->fleet.endpoints.push_back(second);
   this->Publish();
-  const std::string_view inNeed = "second";
-  call.excludedEndpoints = std::span(&inNeed, 1);
+  const std::string_view excludedId = "second";
+  call.excludedEndpoints = std::span(&excludedId, 1);
   for (int sent = 0; sent < 4; ++sent) {
     static_cast<void>(this->router.OnDispatched(this->router.Choose(call).value(), call));
   }
--- a/UnitTests/Routing/SpeedModelTests.cpp
+++ b/UnitTests/Routing/SpeedModelTests.cpp
@@ -6,7 +6,7 @@
 
 BOOST_AUTO_TEST_SUITE(SpeedModelTests)
 
-BOOST_AUTO_TEST_CASE(LearnsAnEngineUnlikeThePriors)
+BOOST_AUTO_TEST_CASE(LearnsASpeedThatDiffersFromThePriors)
 {
   SpeedModel model({});
   const std::size_t index = model.IndexOf("slow");
@@ -22,7 +22,7 @@
   BOOST_TEST(model.Get(model.IndexOf("other")).stepBaseSeconds == SpeedPriors{}.stepBaseSeconds);
 }
 
-BOOST_AUTO_TEST_CASE(AStalledConnectionTeachesLittle)
+BOOST_AUTO_TEST_CASE(StalledConnectionStaysWithinThePriorRange)
 {
   const SpeedPriors priors;
   SpeedModel model(priors);
@@ -34,7 +34,7 @@
              priors.stepBaseSeconds * priors.maxPriorRatio * 1.001);
 }
 
-BOOST_AUTO_TEST_CASE(ReportsShowHowManySequencesRun)
+BOOST_AUTO_TEST_CASE(LoadReportsSetTheNumberOfConcurrentSequences)
 {
   SpeedModel model({});
   const std::size_t index = model.IndexOf("large");
