--- a/Lagoonward/Routing/RouterLearning.cpp
+++ b/Lagoonward/Routing/RouterLearning.cpp
@@ -4,21 +4,21 @@
 
 #include <algorithm>
 
-// The part of Router that learns: what becomes of dispatches, what endpoints have cached, what the other daemons
-// have in flight.
+// Members of Router that update its state: results of dispatches, contents of prefix caches, speeds, and requests of
+// the other daemons in flight.
 
 namespace lagoonward {
 
 namespace {
 
-/// With so little ahead of it, a request's first token shows the speed of prefill.
-constexpr double kIdleTokens = 64;
+/// Maximum pending prefill tokens at an endpoint for which a request's time to first token shows the prefill speed.
+constexpr double kIdlePrefillTokens = 64;
 
-/// Events of a stream that make one observation: two that arrive together still leave the others' time true.
+/// Stream events per observation. With several, the mean time per token stays correct if two events arrive together.
 constexpr int kEventsPerSample = 4;
 
-/// Between two conclusions from what was observed: the speed changes slowly, and each costs some microseconds.
-constexpr Milliseconds kSpeedPace{ 250 };
+/// Minimum interval of speed model refreshes. The speed changes slowly, and each refresh takes some microseconds.
+constexpr Milliseconds kSpeedRefreshInterval{ 250 };
 
 } // namespace
 
@@ -30,7 +30,7 @@
   Dispatch dispatch;
   dispatch.endpointKey = target.key;
   dispatch.uncachedTokens = std::max(aRequest.promptTokens - aChoice.cachedTokens, 0);
-  // A fetch takes time that says nothing of reading
+  // The time of a fetch says nothing about the prefill speed
   dispatch.freshTokens = aChoice.fetchFrom ? 0 : aRequest.freshTokens;
   dispatch.isPlainCall = aRequest.isPlainCall;
   dispatch.priority = aChoice.priority;
@@ -39,13 +39,13 @@
   EndpointActivity* activity = this->FindActivity(target.key);
   if (activity != nullptr) {
     const auto index = static_cast<std::uint32_t>(activity - this->activities.data());
-    dispatch.sequences = this->SequencesAt(index, this->PeerFactor(target)) + 1;
-    dispatch.ranIdle =
-      activity->PrefillPending(0) <= kIdleTokens && this->table->Targets()[index].waiting == 0;
+    dispatch.sequences = this->EstimatedSequences(index, this->PeerFactor(target)) + 1;
+    dispatch.endpointWasIdle = activity->PrefillPending(0) <= kIdlePrefillTokens &&
+                               this->table->Targets()[index].waiting == 0;
     activity->breaker.OnDispatched(this->settings.breaker, dispatch.dispatchedAt);
     activity->OnDispatched(dispatch.dispatchedAt, dispatch.uncachedTokens, dispatch.priority);
     ++this->ownInFlight;
-    this->everywhere.OnDispatched(dispatch.dispatchedAt, 0, dispatch.priority);
+    this->totalActivity.OnDispatched(dispatch.dispatchedAt, 0, dispatch.priority);
   }
   this->prefixes.OnDispatched(target.key, aRequest.prefixBlocks);
   return dispatch;
@@ -62,7 +62,7 @@
     if (activity != nullptr) {
       activity->OnFirstToken(aDispatch.uncachedTokens, aDispatch.priority);
     }
-    if (aDispatch.ranIdle) {
+    if (aDispatch.endpointWasIdle) {
       const double seconds =
         ToSeconds(now - aDispatch.dispatchedAt) - this->settings.networkSeconds;
       this->speed.ObservePrefill(aDispatch.speedIndex, aDispatch.uncachedTokens,
@@ -70,7 +70,7 @@
     }
   } else if (activity != nullptr) {
     const auto index = static_cast<std::uint32_t>(activity - this->activities.data());
-    const double running = std::min<double>(this->SequencesAt(index, 1),
+    const double running = std::min<double>(this->EstimatedSequences(index, 1),
                                             this->speed.Get(aDispatch.speedIndex).sequences);
     this->speed.ObserveStep(aDispatch.speedIndex, running, ToSeconds(now - aDispatch.lastToken));
   }
@@ -94,10 +94,10 @@
     const auto index = static_cast<std::uint32_t>(activity - this->activities.data());
     this->speed.ObserveTokens(
       aDispatch.speedIndex, now,
-      this->SequencesAt(index, this->PeerFactor(this->table->Targets()[index])),
-      ToSeconds(now - aDispatch.sampleFrom) / aDispatch.sampleTokens);
+      this->EstimatedSequences(index, this->PeerFactor(this->table->Targets()[index])),
+      ToSeconds(now - aDispatch.sampleStart) / aDispatch.sampleTokens);
   }
-  aDispatch.sampleFrom = now;
+  aDispatch.sampleStart = now;
   aDispatch.sampleTokens = 0;
   this->RefreshSpeed(now);
 }
@@ -105,7 +105,7 @@
 void
 Router::RefreshSpeed(TimePoint aNow)
 {
-  if (aNow >= this->speedRefreshedAt + kSpeedPace) {
+  if (aNow >= this->speedRefreshedAt + kSpeedRefreshInterval) {
     this->speedRefreshedAt = aNow;
     this->speed.Refresh(aNow);
   }
@@ -129,9 +129,9 @@
   }
   if (aDispatch.isPlainCall && aOutcome != DispatchOutcome::Cancelled) {
     const double seconds = ToSeconds(now - aDispatch.dispatchedAt);
-    const bool isWhole = aOutcome == DispatchOutcome::Completed;
-    activity->OnCallEnded(seconds, isWhole);
-    this->everywhere.OnCallEnded(seconds, isWhole);
+    const bool hasSucceeded = aOutcome == DispatchOutcome::Completed;
+    activity->OnCallEnded(seconds, hasSucceeded);
+    this->totalActivity.OnCallEnded(seconds, hasSucceeded);
   }
   activity->OnFinished(now);
   this->ownInFlight = std::max(this->ownInFlight - 1, 0);
@@ -166,20 +166,21 @@
   if (!group) {
     return 0;
   }
-  double taken = 0;
-  double places = 0;
+  double occupied = 0;
+  double concurrency = 0;
   for (const std::uint32_t target : group.value()->targets) {
     const RoutingTarget& each = this->table->Targets()[target];
     const auto& excluded = aRequest.excludedEndpoints;
     if (std::find(excluded.begin(), excluded.end(), each.id) != excluded.end()) {
       continue;
     }
-    taken += this->SequencesAt(target, this->PeerFactor(each));
-    // What an endpoint says of itself goes before what is assumed of its class
-    places += each.sequences > 0 ? each.sequences
-                                 : this->speed.Get(this->speedIndices[each.machineClass]).sequences;
+    occupied += this->EstimatedSequences(target, this->PeerFactor(each));
+    // A concurrency reported by the endpoint takes precedence over the assumption for its class
+    concurrency += each.sequences > 0
+                     ? each.sequences
+                     : this->speed.Get(this->speedIndices[each.machineClass]).sequences;
   }
-  return places > 0 ? taken / places : 0;
+  return concurrency > 0 ? occupied / concurrency : 0;
 }
 
 std::vector<EndpointCount>
@@ -221,20 +222,20 @@
   if (isEngine && !this->speed.IsLearned(index)) {
     return std::nullopt;
   }
-  double places = known.sequences;
+  double concurrency = known.sequences;
   if (this->table) {
     for (const RoutingTarget& target : this->table->Targets()) {
       if (this->table->MachineClasses()[target.machineClass] == aService && target.sequences > 0) {
-        places = target.sequences;
+        concurrency = target.sequences;
       }
     }
   }
-  // A step's base is shared by those that run beside the request
-  places = std::max(places, 1.0);
-  const double call = std::max(this->everywhere.CallCost(), 0.0);
+  // The base time of a step is shared by all sequences that run concurrently
+  concurrency = std::max(concurrency, 1.0);
+  const double call = std::max(this->totalActivity.ExpectedCallSeconds(), 0.0);
   return aWork.promptTokens * known.prefillSecondsPerToken +
-         aWork.outputTokens * (known.stepPerSequenceSeconds + known.stepBaseSeconds / places) +
-         aWork.calls * call / places;
+         aWork.outputTokens * (known.stepPerSequenceSeconds + known.stepBaseSeconds / concurrency) +
+         aWork.calls * call / concurrency;
 }
 
 std::vector<SpeedReport>
@@ -256,7 +257,7 @@
 {
   const std::lock_guard lock(this->mutex);
   for (const SpeedReport& report : aReports) {
-    this->speed.OnTold(aSource, report, this->clock.Now());
+    this->speed.OnPeerReport(aSource, report, this->clock.Now());
   }
 }
 
--- a/Lagoonward/Routing/RoutingTable.cpp
+++ b/Lagoonward/Routing/RoutingTable.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr int kHighestRank = 3;
+constexpr int kMaxRank = 3;
 constexpr double kSecondsPerHour = 3600;
 
 std::uint64_t
@@ -29,7 +29,7 @@
   return HashBytes(aName, 5);
 }
 
-/// Index of a name in a list, which is extended where needed.
+/// Returns the index of a name in a list, and appends the name if it is missing.
 std::uint16_t
 Intern(std::vector<std::string>& aNames, const std::string& aName)
 {
@@ -41,7 +41,7 @@
   return static_cast<std::uint16_t>(aNames.size() - 1);
 }
 
-/// Moves a report's calendar time to the steady clock.
+/// Converts a report's wall time to the steady clock.
 TimePoint
 ToSteady(WallTime aWall, const Clock& aClock)
 {
@@ -68,7 +68,7 @@
   std::sort(priorities.begin(), priorities.end());
   priorities.erase(std::unique(priorities.begin(), priorities.end()), priorities.end());
 
-  // Targets keep the order of the snapshot, so that indices can be matched by whoever built it
+  // Targets keep the order of the snapshot, so that the caller can match their indices
   table->targets.reserve(aFleet.endpoints.size());
   for (const Endpoint& endpoint : aFleet.endpoints) {
     table->AddTarget(endpoint, aClock, aSettings);
@@ -103,15 +103,15 @@
   target.pricePerSecond = perHour / kSecondsPerHour;
   target.asOf = aClock.Now();
   target.sequences = aEndpoint.sequences;
-  target.reports = aEndpoint.load.has_value();
+  target.reportsLoad = aEndpoint.load.has_value();
   if (aEndpoint.load) {
     target.waiting = aEndpoint.load->waiting;
     target.running = aEndpoint.load->running;
     target.asOf = ToSteady(aEndpoint.load->asOf, aClock);
   }
-  this->going.resize(this->failureDomains.size(), 0);
+  this->leavingDomains.resize(this->failureDomains.size(), 0);
   if (aEndpoint.state == EndpointState::Leaving) {
-    this->going[target.failureDomain] = 1;
+    this->leavingDomains[target.failureDomain] = 1;
   }
   this->targets.push_back(std::move(target));
 }
@@ -119,7 +119,7 @@
 void
 RoutingTable::AddGroups(const FleetSnapshot& aFleet, const Manifest& aManifest)
 {
-  // Declared services exist even while nothing serves them
+  // Declared services have a group even if no endpoint serves them
   for (const ManifestService& service : aManifest.services) {
     this->groups.push_back({ service.name, ServiceKey(service.name), {}, {}, {} });
   }
@@ -151,12 +151,12 @@
   const auto less = [](const RoutingGroup& aGroup, std::uint64_t aOther) {
     return aGroup.key < aOther;
   };
-  auto place = std::lower_bound(this->groups.begin(), this->groups.end(), aKey, less);
-  if (place == this->groups.end() || place->key != aKey) {
-    place = this->groups.insert(place, { std::string(aName), aKey, {}, {}, {} });
+  auto found = std::lower_bound(this->groups.begin(), this->groups.end(), aKey, less);
+  if (found == this->groups.end() || found->key != aKey) {
+    found = this->groups.insert(found, { std::string(aName), aKey, {}, {}, {} });
   }
   if (this->targets[aTarget].live) {
-    place->targets.push_back(aTarget);
+    found->targets.push_back(aTarget);
   }
 }
 
@@ -176,9 +176,9 @@
     std::sort(group.targets.begin(), group.targets.end(), cheaper);
     group.targets.erase(std::unique(group.targets.begin(), group.targets.end()),
                         group.targets.end());
-    group.members.assign(this->targets.size(), 0);
+    group.isMember.assign(this->targets.size(), 0);
     for (const std::uint32_t target : group.targets) {
-      group.members[target] = 1;
+      group.isMember[target] = 1;
       for (int point = 0; point < aSettings.ringPoints; ++point) {
         const auto position =
           CombineHashes(this->targets[target].key, static_cast<std::uint64_t>(point));
@@ -196,15 +196,15 @@
   if (aRequest.model.empty()) {
     key = ServiceKey(aRequest.service);
   } else {
-    // The manifest says what may be asked for, and what is meant where a version is left out
+    // The manifest defines which models can be requested, and the versions to use where they are omitted
     const auto model =
       std::find_if(this->models.begin(), this->models.end(), [&](const ManifestModel& aModel) {
         return aModel.name == aRequest.model &&
                (aRequest.version.empty() || aModel.version == aRequest.version);
       });
     if (model == this->models.end()) {
-      return Error(ErrorKind::UnknownModel,
-                   fmt::format("no model {} {}", aRequest.model, aRequest.version));
+      return Error(ErrorKind::UnknownModel, fmt::format("the manifest has no model {} {}",
+                                                        aRequest.model, aRequest.version));
     }
     std::string_view adapterVersion = aRequest.adapterVersion;
     if (!aRequest.adapter.empty()) {
@@ -228,12 +228,13 @@
   const auto less = [](const RoutingGroup& aGroup, std::uint64_t aOther) {
     return aGroup.key < aOther;
   };
-  const auto place = std::lower_bound(this->groups.begin(), this->groups.end(), key, less);
-  if (place != this->groups.end() && place->key == key) {
-    return &*place;
+  const auto found = std::lower_bound(this->groups.begin(), this->groups.end(), key, less);
+  if (found != this->groups.end() && found->key == key) {
+    return &*found;
   }
   if (aRequest.model.empty()) {
-    return Error(ErrorKind::UnknownService, fmt::format("no service {}", aRequest.service));
+    return Error(ErrorKind::UnknownService,
+                 fmt::format("the manifest has no service {}", aRequest.service));
   }
   return Error(ErrorKind::NoEndpoint,
                fmt::format("no endpoint has loaded {} {}", aRequest.model, aRequest.adapter));
@@ -242,8 +243,8 @@
 int
 RoutingTable::RankOf(int aPriority) const
 {
-  const auto place = std::lower_bound(this->priorities.begin(), this->priorities.end(), aPriority);
-  return std::min(static_cast<int>(place - this->priorities.begin()), kHighestRank);
+  const auto found = std::lower_bound(this->priorities.begin(), this->priorities.end(), aPriority);
+  return std::min(static_cast<int>(found - this->priorities.begin()), kMaxRank);
 }
 
 } // namespace lagoonward
--- a/UnitTests/Routing/PrefixIndexTests.cpp
+++ b/UnitTests/Routing/PrefixIndexTests.cpp
@@ -29,7 +29,7 @@
   [[nodiscard]] std::map<std::uint32_t, double> Find() const
   {
     std::array<PrefixHolder, 8> holders;
-    const std::size_t count = this->index.Find(this->blocks, holders).holders;
+    const std::size_t count = this->index.Find(this->blocks, holders).holderCount;
     std::map<std::uint32_t, double> found;
     for (std::size_t each = 0; each < count; ++each) {
       found[holders[each].tag] = holders[each].tokens;
@@ -42,7 +42,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(PrefixIndexTests, Fixture)
 
-BOOST_AUTO_TEST_CASE(KnowsHowDeepEachEndpointGoes)
+BOOST_AUTO_TEST_CASE(FindReturnsCachedPrefixLengthPerEndpoint)
 {
   const std::span all(this->blocks);
   this->index.OnStored(11, all.first(80));
@@ -54,20 +54,20 @@
   BOOST_TEST(found.at(21) >= 30 * 64 * this->settings.dispatchedConfidence);
 }
 
-BOOST_AUTO_TEST_CASE(ForgetsWhatIsEvictedGoneOrOld)
+BOOST_AUTO_TEST_CASE(EvictedResetAndExpiredEntriesAreNotFound)
 {
   this->index.OnStored(11, this->blocks);
   this->index.OnEvicted(11, this->blocks);
   BOOST_TEST(this->Find().empty());
   this->index.OnStored(11, this->blocks);
-  this->index.OnGone(11);
+  this->index.OnReset(11);
   BOOST_TEST(this->Find().empty());
   this->index.OnStored(21, this->blocks);
   this->clock.Advance(this->settings.maxAge + Seconds(1));
   BOOST_TEST(this->Find().empty());
 }
 
-BOOST_AUTO_TEST_CASE(TrustsLessAfterAGap)
+BOOST_AUTO_TEST_CASE(EventGapReducesConfidenceInOlderEntries)
 {
   this->index.OnStored(11, this->blocks);
   this->clock.Advance(Seconds(1));
@@ -77,7 +77,7 @@
   BOOST_TEST(this->Find().at(11) == 6400);
 }
 
-BOOST_AUTO_TEST_CASE(StaysWithinItsMemory)
+BOOST_AUTO_TEST_CASE(OldestBlocksAreEvictedAtCapacity)
 {
   this->settings.capacity = 64;
   PrefixIndex small(this->settings, this->clock);
@@ -86,8 +86,8 @@
     this->clock.Advance(Seconds(1));
   }
   std::array<PrefixHolder, 8> holders;
-  BOOST_TEST(small.Find(MakeBlocks(16, 0), holders).holders == 0U);
-  BOOST_TEST(small.Find(MakeBlocks(16, 99000), holders).holders == 1U);
+  BOOST_TEST(small.Find(MakeBlocks(16, 0), holders).holderCount == 0U);
+  BOOST_TEST(small.Find(MakeBlocks(16, 99000), holders).holderCount == 1U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/UnitTests/Routing/SpeedModelTests.cpp
+++ b/UnitTests/Routing/SpeedModelTests.cpp
@@ -6,7 +6,7 @@
 
 BOOST_AUTO_TEST_SUITE(SpeedModelTests)
 
-BOOST_AUTO_TEST_CASE(LearnsAnEngineUnlikeThePriors)
+BOOST_AUTO_TEST_CASE(LearnsASpeedThatDiffersFromThePriors)
 {
   SpeedModel model({});
   const std::size_t index = model.IndexOf("slow");
@@ -22,7 +22,7 @@
   BOOST_TEST(model.Get(model.IndexOf("other")).stepBaseSeconds == SpeedPriors{}.stepBaseSeconds);
 }
 
-BOOST_AUTO_TEST_CASE(AStalledConnectionTeachesLittle)
+BOOST_AUTO_TEST_CASE(StalledConnectionStaysWithinThePriorRange)
 {
   const SpeedPriors priors;
   SpeedModel model(priors);
@@ -30,10 +30,11 @@
   for (int observation = 0; observation < 100; ++observation) {
     model.ObserveStep(index, 1, 3600);
   }
-  BOOST_TEST(model.Get(index).stepBaseSeconds <= priors.stepBaseSeconds * priors.range * 1.001);
+  BOOST_TEST(model.Get(index).stepBaseSeconds <=
+             priors.stepBaseSeconds * priors.maxPriorRatio * 1.001);
 }
 
-BOOST_AUTO_TEST_CASE(ReportsShowHowManySequencesRun)
+BOOST_AUTO_TEST_CASE(LoadReportsSetTheNumberOfConcurrentSequences)
 {
   SpeedModel model({});
   const std::size_t index = model.IndexOf("large");
