--- a/Lagoonward/Configuration/Configuration.h
+++ b/Lagoonward/Configuration/Configuration.h
@@ -7,18 +7,18 @@
 
 namespace lagoonward {
 
-/// What is in force in one market. Immutable; a new one is published for each change.
+/// The configuration in force in one market. Immutable; each change publishes a new one.
 struct Configuration
 {
   std::string market;
-  Offset offset = kNoOffset; ///< Offset of the accepted record: its version.
+  Offset offset = kNoOffset; ///< Offset of the accepted record, used as the version.
   Manifest manifest;
 };
 
 using ConfigurationPtr = std::shared_ptr<const Configuration>;
 
-/// What one daemon tells another about a market: what is in force once every record below `through`
-/// has been read. `configuration` is null when nothing is in force there.
+/// The state of a market that one daemon sends to another: the configuration in force after all records
+/// below `through`. `configuration` is null if none is in force.
 struct ConfigurationOffer
 {
   ConfigurationPtr configuration;
--- a/Lagoonward/Configuration/ConfigurationFollower.cpp
+++ b/Lagoonward/Configuration/ConfigurationFollower.cpp
@@ -64,7 +64,7 @@
     return boost::outcome_v2::success();
   }
   if (this->workers.size() >= this->settings.maxMarkets) {
-    return Error(ErrorKind::Overloaded, "this daemon follows as many markets as it may");
+    return Error(ErrorKind::Overloaded, "the limit of followed markets is reached");
   }
   Worker& worker = this->workers[aMarket];
   worker.follower =
--- a/Lagoonward/Configuration/ConfigurationFollower.h
+++ b/Lagoonward/Configuration/ConfigurationFollower.h
@@ -9,15 +9,15 @@
 
 namespace lagoonward {
 
-/// Keeps the configuration of each followed market up to date, on one thread per market, as each
-/// thread spends its life in one long poll. On an outage of the log the last configuration stays.
-/// All functions are safe from any thread.
+/// Keeps the configuration of each followed market up to date. Uses one thread per market because each
+/// thread blocks in a long poll. During an outage of the log the last configuration stays in force. All
+/// functions are safe from any thread.
 class ConfigurationFollower final : public Service
 {
 public:
   static constexpr std::string_view kName = "configuration-follower";
 
-  /// @param aLog  interrupted by Stop(), so not to be shared with services that stop later
+  /// @param aLog  interrupted by Stop(); must not be shared with services that stop later
   ConfigurationFollower(ConfigurationFollowerSettings aSettings, ConfigurationFollowerHooks aHooks,
                         const std::vector<std::string>& aMarkets, LogService& aLog,
                         const Clock& aClock);
@@ -27,17 +27,17 @@
   [[nodiscard]] Result<void> Start() override;
   void Stop() override;
 
-  /// Begins to follow one more market, unless it is followed already.
-  /// @return Overloaded when `maxMarkets` are followed, Draining after Stop()
+  /// Starts to follow a market, unless it is followed already.
+  /// @return Overloaded if `maxMarkets` markets are followed, Draining after Stop()
   [[nodiscard]] Result<void> Follow(const std::string& aMarket);
 
-  /// What is in force in a market, or nullptr.
+  /// The configuration in force in a market, or nullptr.
   [[nodiscard]] ConfigurationPtr Current(std::string_view aMarket) const;
 
-  /// What to tell a peer that asks.
+  /// The state to send to a peer that requests it.
   [[nodiscard]] ConfigurationOffer Offer(std::string_view aMarket) const;
 
-  /// Takes what a peer has in force, if it is newer. Ignored for markets that are not followed.
+  /// Adopts a peer's configuration if it is newer. Ignored for markets that are not followed.
   void Adopt(std::string_view aMarket, const ConfigurationOffer& aOffer);
 
   [[nodiscard]] std::vector<MarketStatus> Status() const;
--- a/Lagoonward/Configuration/ConfigurationFollowerSettings.h
+++ b/Lagoonward/Configuration/ConfigurationFollowerSettings.h
@@ -4,22 +4,24 @@
 
 namespace lagoonward {
 
-/// Tunables of following the configuration streams.
+/// Settings of the readers of the configuration streams.
 struct ConfigurationFollowerSettings
 {
-  Milliseconds pollWait{ 20'000 }; ///< How long the log may hold a read back for the next record.
-  Milliseconds idlePause{ 50 }; ///< After a read without records, should the log not hold it back.
-  int pageLimit = 8;            ///< Records in one read; each may hold a manifest.
-  BackoffSettings backoff;      ///< Between reads while the log is away.
-  Milliseconds peerInterval{ 1000 }; ///< Least time between two rounds of asking peers.
+  Milliseconds pollWait{ 20'000 }; ///< Longest wait of one long poll for the next record.
+  Milliseconds idlePause{
+    50
+  };                       ///< After an empty read, in case the log does not support long polls.
+  int pageLimit = 8;       ///< Most records per read; each may contain a manifest.
+  BackoffSettings backoff; ///< Between reads while the log is unavailable.
+  Milliseconds peerInterval{ 1000 }; ///< Least time between two rounds of peer queries.
 
-  /// Age at which the newest checkpoint is repeated. Retention must be at least three times this.
+  /// Age at which the newest checkpoint is written again. The log's retention must be at least three times this.
   Milliseconds checkpointInterval{ 300'000 };
 
-  /// How long each daemon leaves the checkpoint to the one ranked before it.
+  /// Additional delay per rank before a daemon writes the checkpoint, so that the daemon ranked before it goes first.
   Milliseconds checkpointGrace{ 10'000 };
 
-  std::size_t maxMarkets = 32; ///< Follow() refuses more.
+  std::size_t maxMarkets = 32; ///< Follow() returns an error beyond this.
 };
 
 } // namespace lagoonward
--- a/Lagoonward/Configuration/ConfigurationHistory.cpp
+++ b/Lagoonward/Configuration/ConfigurationHistory.cpp
@@ -37,7 +37,7 @@
 
 namespace {
 
-/// Most records that are held during a gap.
+/// Most records that are buffered during a gap.
 constexpr std::size_t kMaxPending = 1024;
 
 ConfigurationPtr
@@ -69,10 +69,11 @@
   if (aStart <= this->next) {
     return {};
   }
-  const auto detail = fmt::format("records {} to {} lapsed unread, {} stays in force", this->next,
-                                  aStart - 1, this->OffsetInForce());
+  const auto detail =
+    fmt::format("records {} to {} expired before they were read; offset {} stays in force",
+                this->next, aStart - 1, this->OffsetInForce());
 
-  // Records held from before the hole can no longer be joined to what follows
+  // Records buffered before the missing ones are not contiguous with the following ones
   this->pending.clear();
   this->certain = false;
   this->gapEnd = aStart;
@@ -94,7 +95,7 @@
     events = { { Kind::SkippedInvalid, aOffset, {}, DescribeFaults(faults) } };
   } else {
     events = this->certain ? this->Fold(aOffset, std::move(*record))
-                           : this->Hold(aOffset, std::move(*record));
+                           : this->BufferDuringGap(aOffset, std::move(*record));
   }
   if (this->certain) {
     this->certainThrough = this->next;
@@ -115,54 +116,62 @@
 ConfigurationHistory::FoldManifest(Offset aOffset, ConfigurationRecord&& aRecord)
 {
   if (aRecord.base != this->OffsetInForce()) {
-    const auto detail =
-      fmt::format("built on {}, but {} was in force", aRecord.base, this->OffsetInForce());
+    const auto detail = fmt::format("base is offset {}, but offset {} was in force", aRecord.base,
+                                    this->OffsetInForce());
     return { Kind::LostRace, aOffset, aRecord.publisher, detail };
   }
   this->inForce = MakeConfiguration(this->market, aOffset, std::move(aRecord.manifest));
   this->lastChange = aOffset;
-  const auto detail = fmt::format("in force in place of {}", aRecord.base);
+  const auto detail = fmt::format("in force, replaces offset {}", aRecord.base);
   return { Kind::Accepted, aOffset, aRecord.publisher, detail };
 }
 
 ConfigurationEvent
 ConfigurationHistory::FoldCheckpoint(Offset aOffset, const ConfigurationRecord& aRecord)
 {
-  // What it says of a moment before our last change can't be compared, unless it contradicts order
+  // A checkpoint from before this reader's last change is not comparable, but must not
+  // name an offset later than the one in force
   const bool comparable = aRecord.through > this->lastChange;
-  const bool fromFuture = aRecord.through > aOffset;
+  const bool coversLaterRecords = aRecord.through > aOffset;
   const bool agrees = aRecord.of == this->OffsetInForce();
   const bool older = !comparable && aRecord.of < this->OffsetInForce();
-  if (fromFuture || !(comparable ? agrees : older)) {
-    const auto detail = fmt::format("says {} was in force below {}, computed {}", aRecord.of,
-                                    aRecord.through, this->OffsetInForce());
+  if (coversLaterRecords || !(comparable ? agrees : older)) {
+    const auto detail =
+      fmt::format("checkpoint has offset {} in force below offset {}, computed offset {}",
+                  aRecord.of, aRecord.through, this->OffsetInForce());
     return { Kind::CheckpointDisagrees, aOffset, aRecord.publisher, detail };
   }
   this->newestCheckpoint = std::max(this->newestCheckpoint, aRecord.through);
   return { Kind::CheckpointSeen, aOffset, aRecord.publisher,
-           fmt::format("of {} below {}", aRecord.of, aRecord.through) };
+           fmt::format("checkpoint of offset {}, covers records below {}", aRecord.of,
+                       aRecord.through) };
 }
 
 ConfigurationHistory::Events
-ConfigurationHistory::Hold(Offset aOffset, ConfigurationRecord&& aRecord)
+ConfigurationHistory::BufferDuringGap(Offset aOffset, ConfigurationRecord&& aRecord)
 {
   if (aRecord.kind != ConfigurationRecord::Kind::Checkpoint) {
     this->pending.push_back({ aOffset, std::move(aRecord) });
-    this->BoundPending();
+    this->LimitPending();
     return {};
   }
   const RecordId writer = aRecord.publisher;
 
-  // Only a checkpoint that covers the whole hole tells where to resume
+  // Only a checkpoint that covers all missing records gives the state to resume from
   if (aRecord.through < this->gapEnd) {
-    return { { Kind::CheckpointSeen, aOffset, writer, "too old to close the gap" } };
+    return { { Kind::CheckpointSeen, aOffset, writer,
+               "checkpoint does not cover the gap; ignored" } };
   }
   if (aRecord.through > aOffset || aRecord.of < this->OffsetInForce()) {
-    return { { Kind::CheckpointDisagrees, aOffset, writer, "would take the offset back" } };
+    return {
+      { Kind::CheckpointDisagrees, aOffset, writer,
+        "checkpoint covers records after itself or has an older offset in force; ignored" }
+    };
   }
   this->newestCheckpoint = std::max(this->newestCheckpoint, aRecord.through);
   Events events{ { Kind::GapClosed, aOffset, writer,
-                   fmt::format("checkpoint of {} below {}", aRecord.of, aRecord.through) } };
+                   fmt::format("by checkpoint of offset {}, covers records below {}", aRecord.of,
+                               aRecord.through) } };
   auto resumed = this->Resume(
     aRecord.through, MakeConfiguration(this->market, aRecord.of, std::move(aRecord.manifest)));
   events.insert(events.end(), resumed.begin(), resumed.end());
@@ -170,9 +179,9 @@
 }
 
 void
-ConfigurationHistory::BoundPending()
+ConfigurationHistory::LimitPending()
 {
-  // A record that is dropped lengthens the hole, which a checkpoint then has to cover
+  // Dropping a record extends the gap that a checkpoint has to cover
   if (this->pending.size() > kMaxPending) {
     this->gapEnd = this->pending.front().offset + 1;
     this->pending.pop_front();
@@ -185,10 +194,10 @@
   this->inForce = std::move(aInForce);
   this->lastChange = this->OffsetInForce();
   this->certain = true;
-  std::deque<PendingRecord> held;
-  held.swap(this->pending);
+  std::deque<PendingRecord> buffered;
+  buffered.swap(this->pending);
   Events events;
-  for (PendingRecord& entry : held) {
+  for (PendingRecord& entry : buffered) {
     if (entry.offset >= aThrough) {
       auto folded = this->Fold(entry.offset, std::move(entry.record));
       events.insert(events.end(), folded.begin(), folded.end());
@@ -203,23 +212,23 @@
 ConfigurationHistory::AdoptFromPeer(const ConfigurationOffer& aOffer)
 {
   const Offset offered = OffsetOf(aOffer.configuration);
-  const auto refuse = [&](std::string_view aReason) {
+  const auto refused = [&](std::string_view aReason) {
     return Events{ { Kind::PeerRefused, offered, {}, std::string(aReason) } };
   };
   if (aOffer.configuration && aOffer.configuration->market != this->market) {
-    return refuse("another market");
+    return refused("the peer's state is of another market");
   }
   if (offered < this->OffsetInForce() || aOffer.through <= offered) {
-    return refuse("older than what is in force");
+    return refused("the peer's state is older than the offset in force, or inconsistent");
   }
 
-  // During a gap it must cover the hole, or at least reach further than what was certain before it
+  // During a gap it must cover the missing records, or at least more than the certain state before them
   const bool closesGap = !this->certain && aOffer.through >= this->gapEnd;
   const bool isLater = aOffer.through > (this->certain ? this->next : this->certainThrough);
   if (!closesGap && !isLater) {
-    return refuse("reaches no further than this reader");
+    return refused("the peer's state covers no more records than this reader's");
   }
-  const auto detail = fmt::format("{} in force below {}", offered, aOffer.through);
+  const auto detail = fmt::format("offset {} in force below offset {}", offered, aOffer.through);
   Events events{ { Kind::PeerAdopted, offered, {}, detail } };
   if (!this->certain && !closesGap) {
     this->inForce = aOffer.configuration;
--- a/Lagoonward/Configuration/ConfigurationHistory.h
+++ b/Lagoonward/Configuration/ConfigurationHistory.h
@@ -10,38 +10,38 @@
 
 namespace lagoonward {
 
-/// What one step of a ConfigurationHistory found. Each becomes one log line.
+/// A result of one step of a ConfigurationHistory. Each is logged as one line.
 struct ConfigurationEvent
 {
   enum class Kind
   {
-    Accepted,            ///< The record is in force from here on.
-    LostRace,            ///< Valid, but its base is not what was in force.
-    SkippedInvalid,      ///< Not a valid record; every reader skips it.
-    CheckpointSeen,      ///< Agrees with what this reader knows, or says nothing about it.
-    CheckpointDisagrees, ///< Contradicts what this reader computed; ignored.
-    GapFound,            ///< Records lapsed unread; what is in force is not known for certain.
-    GapClosed,           ///< A checkpoint or a peer told what the lapsed records had settled.
-    PeerAdopted,         ///< A peer's later state was taken.
-    PeerRefused,         ///< A peer's state was older or contradictory.
+    Accepted,            ///< The record is in force from this offset on.
+    LostRace,            ///< Valid, but its base is not the offset in force.
+    SkippedInvalid,      ///< Not a valid record. Every reader skips it.
+    CheckpointSeen,      ///< Consistent with the state of this reader, or not comparable to it.
+    CheckpointDisagrees, ///< Contradicts the state that this reader computed. Ignored.
+    GapFound,  ///< Records expired before they were read. The configuration in force is uncertain.
+    GapClosed, ///< A checkpoint gave the state that the expired records led to.
+    PeerAdopted, ///< A later state of a peer was adopted.
+    PeerRefused, ///< A peer's state was older or contradictory. Ignored.
   };
 
   Kind kind = Kind::Accepted;
-  Offset offset = kNoOffset; ///< Of the record concerned; of the first kept one for a gap.
-  RecordId publisher;        ///< Who wrote it, where that could be read.
-  std::string detail;        ///< One short sentence with the reason.
+  Offset offset = kNoOffset; ///< Of the record; for a gap, the oldest retained offset.
+  RecordId publisher;        ///< Writer of the record, if it could be read.
+  std::string detail;        ///< The reason, in one short sentence.
 };
 
-/// Name of a kind, for log lines.
+/// The name of a kind, for log lines.
 [[nodiscard]] std::string_view
 ToString(ConfigurationEvent::Kind aKind);
 
-/// Folds the records of one stream `config/MARKET` into what is in force. Pure: the same records give
-/// the same result on every reader, wherever it began to read, and the offset in force never goes
-/// down. The rules and their reasons are in docs/design/configuration-order.md.
+/// Folds the records of one stream `config/MARKET` into the configuration in force. Deterministic: the
+/// same records give the same result on every reader, whatever offset it started at, and the offset in
+/// force never decreases. The rules and their reasons are in docs/design/configuration-order.md.
 ///
-/// The caller feeds each page: ObserveStart() with the oldest kept offset, then Apply() for each
-/// record in order, and reads on from NextOffset(). Not thread-safe.
+/// For each page the caller calls ObserveStart() with the oldest retained offset, then Apply() for each
+/// record in order, and continues to read at NextOffset(). Not thread-safe.
 class ConfigurationHistory
 {
 public:
@@ -49,18 +49,18 @@
 
   using Events = std::vector<ConfigurationEvent>;
 
-  /// Notes the oldest offset that the log still keeps. Past NextOffset() it is a gap.
+  /// Takes the oldest offset that the log retains. If it is greater than NextOffset(), there is a gap.
   [[nodiscard]] Events ObserveStart(Offset aStart);
 
-  /// Folds one record. One that was read before is ignored.
+  /// Folds one record. A record that was read before is ignored.
   [[nodiscard]] Events Apply(Offset aOffset, std::string_view aData);
 
-  /// Takes a peer's state if it reaches further than this reader's own; an older one changes nothing.
+  /// Adopts a peer's state if it covers more records than this reader's own. An older state has no effect.
   [[nodiscard]] Events AdoptFromPeer(const ConfigurationOffer& aOffer);
 
   [[nodiscard]] const std::string& Market() const;
 
-  /// What is in force, or nullptr. During a gap: the last known.
+  /// The configuration in force, or nullptr. During a gap: the last known one.
   [[nodiscard]] const ConfigurationPtr& InForce() const;
 
   /// Offset in force, or kNoOffset.
@@ -69,20 +69,20 @@
   /// First offset not yet read.
   [[nodiscard]] Offset NextOffset() const;
 
-  /// Whether what is in force at NextOffset() is known; false during a gap.
+  /// Whether the configuration in force at NextOffset() is known. False during a gap.
   [[nodiscard]] bool IsCertain() const;
 
   /// `through` of the newest checkpoint read that is consistent with this reader, or kNoOffset.
   [[nodiscard]] Offset NewestCheckpoint() const;
 
-  /// What to tell peers; holds also during a gap, for the point before it.
+  /// The state to send to peers. During a gap it is the state before the gap.
   [[nodiscard]] ConfigurationOffer Offer() const;
 
-  /// The checkpoint to write now. Only while IsCertain().
+  /// A checkpoint of the current state. Requires IsCertain().
   [[nodiscard]] ConfigurationRecord MakeCheckpoint(RecordId aWriter) const;
 
 private:
-  /// A record read during a gap, kept until a checkpoint tells where to resume.
+  /// A record read during a gap, buffered until a checkpoint or a peer gives the state to resume from.
   struct PendingRecord
   {
     Offset offset = kNoOffset;
@@ -92,21 +92,21 @@
   Events Fold(Offset aOffset, ConfigurationRecord&& aRecord);
   ConfigurationEvent FoldManifest(Offset aOffset, ConfigurationRecord&& aRecord);
   ConfigurationEvent FoldCheckpoint(Offset aOffset, const ConfigurationRecord& aRecord);
-  Events Hold(Offset aOffset, ConfigurationRecord&& aRecord);
+  Events BufferDuringGap(Offset aOffset, ConfigurationRecord&& aRecord);
 
-  /// Keeps the memory of a long gap within limits.
-  void BoundPending();
+  /// Drops the oldest buffered record if there are more than kMaxPending.
+  void LimitPending();
 
-  /// Ends a gap: sets the state at aThrough and folds the held records from there on.
+  /// Ends a gap: sets the state at aThrough and folds the buffered records from that offset on.
   Events Resume(Offset aThrough, ConfigurationPtr aInForce);
 
   std::string market;
   ConfigurationPtr inForce;
   Offset next = 0;               ///< First offset not yet read.
-  Offset certainThrough = 0;     ///< Last point at which the state was certain.
-  Offset gapEnd = 0;             ///< During a gap: oldest offset kept when it was found.
+  Offset certainThrough = 0;     ///< Offset up to which the state was last certain.
+  Offset gapEnd = 0;             ///< During a gap: first offset after the missing records.
   bool certain = true;           ///< False during a gap.
-  Offset lastChange = kNoOffset; ///< Where this reader itself saw the last change happen.
+  Offset lastChange = kNoOffset; ///< Offset of the last change that this reader has seen.
   Offset newestCheckpoint = kNoOffset;
   std::deque<PendingRecord> pending; ///< Read during a gap, in order.
 };
--- a/Lagoonward/Configuration/ConfigurationOffer.h
+++ b/Lagoonward/Configuration/ConfigurationOffer.h
@@ -8,12 +8,12 @@
 
 namespace lagoonward {
 
-/// The text by which an offer travels between daemons; it has the shape of a checkpoint record.
+/// Serializes an offer for sending to other daemons, in the format of a checkpoint record.
 [[nodiscard]] std::string
 WriteOffer(const ConfigurationOffer& aOffer, std::string_view aIncarnation);
 
-/// Reads and validates the text of an offer for one market.
-/// @return nothing if it has any fault
+/// Parses and validates a serialized offer for one market.
+/// @return nothing if the text is invalid
 [[nodiscard]] std::optional<ConfigurationOffer>
 ReadOffer(std::string_view aText, std::string_view aMarket);
 
--- a/Lagoonward/Configuration/ConfigurationPublisher.cpp
+++ b/Lagoonward/Configuration/ConfigurationPublisher.cpp
@@ -11,7 +11,7 @@
 using Kind = ConfigurationEvent::Kind;
 using Verdict = PublishOutcome::Verdict;
 
-ConfigurationPublisher::Reading::Reading(std::string aMarket)
+ConfigurationPublisher::StreamState::StreamState(std::string aMarket)
   : history(std::move(aMarket))
 {
 }
@@ -22,8 +22,8 @@
   : log(aLog)
   , clock(aClock)
   , settings(aSettings)
-  , own{ std::move(aIncarnation), 0 }
-  , backoff(aSettings.backoff, HashBytes(this->own.incarnation))
+  , ownId{ std::move(aIncarnation), 0 }
+  , backoff(aSettings.backoff, HashBytes(this->ownId.incarnation))
 {
 }
 
@@ -31,63 +31,67 @@
 ConfigurationPublisher::Publish(const Manifest& aManifest, std::optional<Offset> aBase)
 {
   this->deadline = this->clock.Now() + this->settings.timeout;
-  ++this->own.sequence;
+  ++this->ownId.sequence;
   const std::string stream = ConfigurationStream(aManifest.market);
-  Reading reading(aManifest.market);
+  StreamState state(aManifest.market);
 
-  // Learn what is in force
-  if (auto caughtUp = this->CatchUpInTime(reading, stream); !caughtUp) {
+  // Determine the configuration in force
+  if (auto caughtUp = this->CatchUpWithRetries(state, stream); !caughtUp) {
     return caughtUp.error();
   }
-  if (!aBase && !reading.history.IsCertain()) {
-    return Error(ErrorKind::NoConfiguration,
-                 "the records that are kept do not tell what is in force; name the base");
+  if (!aBase && !state.history.IsCertain()) {
+    return Error(
+      ErrorKind::NoConfiguration,
+      "the retained records do not determine the configuration in force; specify the base");
   }
   ConfigurationRecord record;
-  record.base = aBase.value_or(reading.history.OffsetInForce());
+  record.base = aBase.value_or(state.history.OffsetInForce());
   record.manifest = aManifest;
-  record.publisher = this->own;
-  if (reading.history.IsCertain() && record.base != reading.history.OffsetInForce()) {
-    auto lost = this->Judge(reading, "");
+  record.publisher = this->ownId;
+  if (state.history.IsCertain() && record.base != state.history.OffsetInForce()) {
+    auto lost = this->MakeOutcome(state, "");
     lost.verdict = Verdict::Lost;
-    lost.detail = fmt::format("base {} is not in force; nothing was appended", record.base);
+    lost.detail = fmt::format("base offset {} is not in force; nothing was appended", record.base);
     return lost;
   }
 
-  // Append, and look for the record whatever the answer; repeat while it is not there
+  // Append, then search the stream for the record whether or not the append succeeded. Repeat while it is not there
   const std::string text = WriteConfigurationRecord(record);
   while (true) {
     const auto appended = this->log.Append(stream, text);
-    const auto caughtUp = this->CatchUp(reading, stream);
-    if (reading.ownOffset != kNoOffset && (reading.verdict || !reading.history.IsCertain())) {
-      return this->Judge(reading, "what is in force can't be told from the records that are kept");
+    const auto caughtUp = this->CatchUp(state, stream);
+    if (state.ownOffset != kNoOffset && (state.verdict || !state.history.IsCertain())) {
+      return this->MakeOutcome(state,
+                               "the retained records do not determine the configuration in force");
     }
     const bool bothAnswered = appended.has_value() && caughtUp.has_value();
-    const Error error = !appended   ? appended.error()
-                        : !caughtUp ? caughtUp.error()
-                                    : Error(ErrorKind::Internal, "the log lost the record");
+    const Error error =
+      !appended   ? appended.error()
+      : !caughtUp ? caughtUp.error()
+                  : Error(ErrorKind::Internal,
+                          "the log confirmed the append, but the record is not in the stream");
     if (bothAnswered || !this->Pause(error)) {
-      return this->Judge(reading, error.message);
+      return this->MakeOutcome(state, error.message);
     }
   }
 }
 
 Result<void>
-ConfigurationPublisher::CatchUp(Reading& aReading, std::string_view aStream) const
+ConfigurationPublisher::CatchUp(StreamState& aState, std::string_view aStream) const
 {
   while (true) {
-    const auto page = this->log.Read(aStream, aReading.history.NextOffset(),
-                                     this->settings.pageLimit, Milliseconds(0));
+    const auto page = this->log.Read(aStream, aState.history.NextOffset(), this->settings.pageLimit,
+                                     Milliseconds(0));
     if (!page) {
       return page.error();
     }
-    this->Note(aReading, aReading.history.ObserveStart(page.value().start));
+    this->ApplyEvents(aState, aState.history.ObserveStart(page.value().start));
     for (const LogRecord& record : page.value().records) {
-      this->Note(aReading, aReading.history.Apply(record.offset, record.data));
+      this->ApplyEvents(aState, aState.history.Apply(record.offset, record.data));
       JsonFaults faults;
-      const auto parsed = ReadConfigurationRecord(record.data, aReading.history.Market(), faults);
-      if (parsed && parsed->publisher == this->own && aReading.ownOffset == kNoOffset) {
-        aReading.ownOffset = record.offset;
+      const auto parsed = ReadConfigurationRecord(record.data, aState.history.Market(), faults);
+      if (parsed && parsed->publisher == this->ownId && aState.ownOffset == kNoOffset) {
+        aState.ownOffset = record.offset;
       }
     }
     if (page.value().records.empty()) {
@@ -97,10 +101,10 @@
 }
 
 Result<void>
-ConfigurationPublisher::CatchUpInTime(Reading& aReading, std::string_view aStream)
+ConfigurationPublisher::CatchUpWithRetries(StreamState& aState, std::string_view aStream)
 {
   while (true) {
-    auto caughtUp = this->CatchUp(aReading, aStream);
+    auto caughtUp = this->CatchUp(aState, aStream);
     if (caughtUp || !this->Pause(caughtUp.error())) {
       return caughtUp;
     }
@@ -108,32 +112,33 @@
 }
 
 void
-ConfigurationPublisher::Note(Reading& aReading, const ConfigurationHistory::Events& aEvents) const
+ConfigurationPublisher::ApplyEvents(StreamState& aState,
+                                    const ConfigurationHistory::Events& aEvents) const
 {
   for (const auto& event : aEvents) {
     if (event.kind == Kind::Accepted) {
-      aReading.winner = event.publisher;
+      aState.winner = event.publisher;
     }
-    const bool counts = event.kind == Kind::Accepted || event.kind == Kind::LostRace;
-    if (counts && event.publisher == this->own && !aReading.verdict) {
-      aReading.verdict = event;
+    const bool isDecisive = event.kind == Kind::Accepted || event.kind == Kind::LostRace;
+    if (isDecisive && event.publisher == this->ownId && !aState.verdict) {
+      aState.verdict = event;
     }
   }
 }
 
 PublishOutcome
-ConfigurationPublisher::Judge(const Reading& aReading, std::string aDoubt) const
+ConfigurationPublisher::MakeOutcome(const StreamState& aState, std::string aReason) const
 {
   PublishOutcome outcome;
-  outcome.offset = aReading.ownOffset;
-  outcome.inForce = aReading.history.OffsetInForce();
-  outcome.winner = aReading.winner;
-  outcome.detail = std::move(aDoubt);
-  if (aReading.verdict) {
-    const bool accepted = aReading.verdict->kind == Kind::Accepted;
+  outcome.offset = aState.ownOffset;
+  outcome.inForce = aState.history.OffsetInForce();
+  outcome.winner = aState.winner;
+  outcome.detail = std::move(aReason);
+  if (aState.verdict) {
+    const bool accepted = aState.verdict->kind == Kind::Accepted;
     outcome.verdict = accepted ? Verdict::Accepted : Verdict::Lost;
-    outcome.offset = aReading.verdict->offset;
-    outcome.detail = aReading.verdict->detail;
+    outcome.offset = aState.verdict->offset;
+    outcome.detail = aState.verdict->detail;
   }
   return outcome;
 }
@@ -141,11 +146,12 @@
 bool
 ConfigurationPublisher::Pause(const Error& aError)
 {
-  const auto left = std::chrono::duration_cast<Milliseconds>(this->deadline - this->clock.Now());
-  if (left.count() <= 0) {
+  const auto remaining =
+    std::chrono::duration_cast<Milliseconds>(this->deadline - this->clock.Now());
+  if (remaining.count() <= 0) {
     return false;
   }
-  std::this_thread::sleep_for(std::min(this->backoff.Next(aError), left));
+  std::this_thread::sleep_for(std::min(this->backoff.Next(aError), remaining));
   return true;
 }
 
--- a/Lagoonward/Configuration/ConfigurationPublisher.h
+++ b/Lagoonward/Configuration/ConfigurationPublisher.h
@@ -6,74 +6,75 @@
 
 namespace lagoonward {
 
-/// Tunables of publishing.
+/// Settings of ConfigurationPublisher.
 struct PublisherSettings
 {
-  Milliseconds timeout{ 10'000 }; ///< For the whole publication, outages of the log included.
-  int pageLimit = 8;              ///< Records in one read.
-  BackoffSettings backoff;        ///< Between attempts while the log is away.
+  Milliseconds timeout{ 10'000 }; ///< For the whole publication, including outages of the log.
+  int pageLimit = 8;              ///< Most records per read.
+  BackoffSettings backoff;        ///< Between attempts while the log is unavailable.
 };
 
-/// What became of one publication.
+/// The outcome of one publication.
 struct PublishOutcome
 {
   enum class Verdict
   {
-    Accepted, ///< It came into force.
-    Lost,     ///< Another record was in force; this one never counts.
-    Unknown,  ///< The log did not tell in time; the record may still come into force.
+    Accepted, ///< The manifest came into force.
+    Lost,     ///< Another record was in force; this one never takes effect.
+    Unknown,  ///< Not known within the timeout; the record may still come into force.
   };
 
   Verdict verdict = Verdict::Unknown;
-  Offset offset = kNoOffset;  ///< Of this publisher's own record, if it is known.
-  Offset inForce = kNoOffset; ///< In force when the verdict was reached.
-  RecordId winner;            ///< Who published what is in force; empty if that is not known.
-  std::string detail;         ///< Reason, for Lost and Unknown.
+  Offset offset = kNoOffset;  ///< Of this publisher's own record, if known.
+  Offset inForce = kNoOffset; ///< Offset in force at the time of the verdict.
+  RecordId winner;            ///< Publisher of the record in force; empty if not known.
+  std::string detail;         ///< The reason, for Lost and Unknown.
 };
 
-/// Publishes one manifest on the log and tells who won. An append whose answer was lost is settled by
-/// reading the stream for this publisher's own record; while it is not there the same record is
-/// appended again, which is harmless: of two copies with one base at most the first counts.
+/// Publishes one manifest on the log and reports which record is in force. If the response to an append is
+/// lost, the publisher reads the stream to find its own record; while it is not there, the same record is
+/// appended again, which is harmless: of two copies with the same base at most the first takes effect.
 class ConfigurationPublisher
 {
 public:
-  /// @param aIncarnation  identifies this run of the publisher; never reused
+  /// @param aIncarnation  identifies this run of the publisher; must never be reused
   ConfigurationPublisher(LogService& aLog, const Clock& aClock, PublisherSettings aSettings,
                          std::string aIncarnation);
 
-  /// Blocks until the verdict, for up to `timeout`.
-  /// @param aBase  the offset that the manifest builds on; nothing for what is in force
-  /// @return PlatformUnavailable if nothing was appended as the log did not answer, NoConfiguration
-  ///         if what is in force can't be told from the records that are kept
+  /// Blocks until the outcome is known, for up to `timeout`.
+  /// @param aBase  the offset that the manifest replaces; nothing for the one in force
+  /// @return PlatformUnavailable if nothing was appended because the log did not respond, NoConfiguration
+  ///         if the retained records do not determine the configuration in force
   [[nodiscard]] Result<PublishOutcome> Publish(const Manifest& aManifest,
                                                std::optional<Offset> aBase);
 
 private:
-  /// What the stream has told so far.
-  struct Reading
+  /// The state of the stream as read so far.
+  struct StreamState
   {
-    explicit Reading(std::string aMarket);
+    explicit StreamState(std::string aMarket);
 
     ConfigurationHistory history;
-    RecordId winner;                           ///< Publisher of what is in force, if read.
-    std::optional<ConfigurationEvent> verdict; ///< On the own record; the first that counts.
-    Offset ownOffset = kNoOffset;              ///< Where the own record was seen.
+    RecordId winner; ///< Publisher of the record in force, if read.
+    std::optional<ConfigurationEvent>
+      verdict;                    ///< The first event that accepts or rejects the own record.
+    Offset ownOffset = kNoOffset; ///< Offset at which the own record was first read.
   };
 
-  /// Reads to the end of the stream. Fails at the first read without an answer.
-  [[nodiscard]] Result<void> CatchUp(Reading& aReading, std::string_view aStream) const;
+  /// Reads to the end of the stream. Returns the error of the first read that fails.
+  [[nodiscard]] Result<void> CatchUp(StreamState& aState, std::string_view aStream) const;
 
-  /// As CatchUp(), but tries again until the deadline.
-  [[nodiscard]] Result<void> CatchUpInTime(Reading& aReading, std::string_view aStream);
+  /// As CatchUp(), but retries until the deadline.
+  [[nodiscard]] Result<void> CatchUpWithRetries(StreamState& aState, std::string_view aStream);
 
-  void Note(Reading& aReading, const ConfigurationHistory::Events& aEvents) const;
-  [[nodiscard]] PublishOutcome Judge(const Reading& aReading, std::string aDoubt) const;
+  void ApplyEvents(StreamState& aState, const ConfigurationHistory::Events& aEvents) const;
+  [[nodiscard]] PublishOutcome MakeOutcome(const StreamState& aState, std::string aReason) const;
   [[nodiscard]] bool Pause(const Error& aError);
 
   LogService& log;
   const Clock& clock;
   PublisherSettings settings;
-  RecordId own;
+  RecordId ownId;
   Backoff backoff;
   TimePoint deadline;
 };
--- a/Lagoonward/Configuration/ConfigurationRecord.cpp
+++ b/Lagoonward/Configuration/ConfigurationRecord.cpp
@@ -14,7 +14,8 @@
 constexpr std::int64_t kMaxOffset = std::numeric_limits<std::int64_t>::max() - 1;
 constexpr IntegerRange kVersionRange{ kNoOffset, kMaxOffset };
 constexpr IntegerRange kThroughRange{ 0, kMaxOffset };
-constexpr std::size_t kMaxRecordBytes = kMaxManifestBytes + 4096; ///< A manifest and its envelope.
+constexpr std::size_t kMaxRecordBytes =
+  kMaxManifestBytes + 4096; ///< A manifest and the other fields of a record.
 
 std::optional<Manifest>
 ReadEmbeddedManifest(JsonReader& aReader, std::string_view aMarket, JsonFaults& aFaults)
@@ -40,7 +41,7 @@
     return ConfigurationRecord::Kind::Checkpoint;
   }
   if (kind != "manifest") {
-    aReader.Fault("kind", "neither manifest nor checkpoint");
+    aReader.Fault("kind", "expected manifest or checkpoint");
   }
   return ConfigurationRecord::Kind::Manifest;
 }
@@ -52,17 +53,17 @@
   aRecord.of = aReader.ReadInteger("of", kVersionRange);
   aRecord.through = aReader.ReadInteger("through", kThroughRange);
   if (aRecord.of >= aRecord.through) {
-    aReader.Fault("through", "not behind `of`");
+    aReader.Fault("through", "expected an offset greater than `of`");
   }
 
-  // Nothing in force is written as null
+  // The manifest is null if none is in force
   const json* manifest = aReader.Find("manifest");
   if (aRecord.of == kNoOffset && manifest != nullptr && manifest->is_null()) {
     return;
   }
   aRecord.manifest = ReadEmbeddedManifest(aReader, aMarket, aFaults);
   if (aRecord.of == kNoOffset) {
-    aReader.Fault("of", "-1 with a manifest");
+    aReader.Fault("of", "expected an offset, got -1 with a manifest");
   }
 }
 
@@ -72,7 +73,7 @@
 ReadConfigurationRecord(std::string_view aText, std::string_view aMarket, JsonFaults& aFaults)
 {
   if (aText.size() > kMaxRecordBytes) {
-    aFaults.push_back({ "", "larger than a manifest may be" });
+    aFaults.push_back({ "", "record is larger than the size limit" });
     return std::nullopt;
   }
   const auto faultsBefore = aFaults.size();
--- a/Lagoonward/Configuration/JsonReader.cpp
+++ b/Lagoonward/Configuration/JsonReader.cpp
@@ -27,7 +27,7 @@
 const json*
 JsonReader::Find(std::string_view aName)
 {
-  this->known.emplace(aName);
+  this->requested.emplace(aName);
   if (!this->Has(aName)) {
     return nullptr;
   }
@@ -84,7 +84,7 @@
     return 0;
   }
 
-  // Unsigned values beyond 63 bits would wrap
+  // Unsigned values of more than 63 bits would overflow
   const auto limit = static_cast<std::uint64_t>(std::numeric_limits<std::int64_t>::max());
   const bool fits = !found->is_number_unsigned() || found->get<std::uint64_t>() <= limit;
   const auto number = fits ? found->get<std::int64_t>() : 0;
@@ -158,7 +158,7 @@
     return;
   }
   for (const auto& member : this->value.items()) {
-    if (!this->known.contains(member.key())) {
+    if (!this->requested.contains(member.key())) {
       this->Fault(member.key(), "unknown field");
     }
   }
--- a/Lagoonward/Configuration/JsonReader.h
+++ b/Lagoonward/Configuration/JsonReader.h
@@ -7,33 +7,33 @@
 
 namespace lagoonward {
 
-/// A closed range of integers.
+/// A range of integers; both bounds are included.
 struct IntegerRange
 {
   std::int64_t lowest = 0;
   std::int64_t highest = 0;
 };
 
-/// A closed range of numbers.
+/// A range of numbers; both bounds are included.
 struct NumberRange
 {
   double lowest = 0;
   double highest = 0;
 };
 
-/// Reads the members of one JSON object and collects every fault with its pointer instead of
-/// stopping at the first. A member that is missing or faulty reads as its type's empty value;
-/// the caller looks at the faults before it uses what it read.
+/// Reads the members of one JSON object and collects all faults with their pointers instead of stopping
+/// at the first one. A missing or invalid member reads as the empty value of its type; the caller checks
+/// the faults before it uses the result.
 class JsonReader
 {
 public:
-  /// Reports a fault if aValue is not an object; every member then counts as absent, silently.
+  /// Reports a fault if aValue is not an object; no further faults are then reported for its members.
   /// Both references must outlive the reader.
   JsonReader(const nlohmann::json& aValue, std::string aPointer, JsonFaults& aFaults);
 
   [[nodiscard]] bool Has(std::string_view aName) const;
 
-  /// The member, or nullptr with a fault when it is missing.
+  /// The member, or nullptr and a fault if it is missing.
   const nlohmann::json* Require(std::string_view aName);
 
   /// The member, or nullptr.
@@ -45,14 +45,14 @@
   double ReadNumber(std::string_view aName, NumberRange aRange);
   std::vector<std::string> ReadStrings(std::string_view aName);
 
-  /// Optional members: aDefault when the member is missing.
+  /// Optional members: aDefault if the member is missing.
   std::int64_t ReadInteger(std::string_view aName, IntegerRange aRange, std::int64_t aDefault);
   double ReadNumber(std::string_view aName, NumberRange aRange, double aDefault);
 
-  /// Optional member: empty when it is missing or null.
+  /// Optional member: empty if it is missing or null.
   std::string ReadOptionalString(std::string_view aName);
 
-  /// Reads an object member with aRead(JsonReader&); an empty value when it is missing.
+  /// Reads an object member with aRead(JsonReader&); an empty value if it is missing.
   template<typename Read>
   auto ReadObject(std::string_view aName, Read aRead)
   {
@@ -65,7 +65,7 @@
   }
 
   /// Reads each item of an array member of objects with aReadItem(JsonReader&).
-  /// @return the items, in order, faulty ones included, so that indices stay true
+  /// @return the items in order, including invalid ones so that indices match the array
   template<typename ReadItem>
   auto ReadObjects(std::string_view aName, ReadItem aReadItem)
   {
@@ -83,13 +83,13 @@
     return items;
   }
 
-  /// Reports each member that was never asked for.
+  /// Reports each member that was not read or searched for.
   void RejectUnknown();
 
-  /// Reports a fault of one member, or of the object itself when aName is empty.
+  /// Reports a fault of one member, or of the object itself if aName is empty.
   void Fault(std::string_view aName, std::string aMessage);
 
-  /// Reports a fault of a value further down, by its whole pointer.
+  /// Reports a fault of a nested value by its full pointer.
   void FaultAt(std::string aPointer, std::string aMessage);
 
   [[nodiscard]] std::string PointerOf(std::string_view aName) const;
@@ -100,7 +100,7 @@
   const nlohmann::json& value;
   std::string pointer;
   JsonFaults& faults;
-  std::set<std::string, std::less<>> known; ///< Members asked for so far.
+  std::set<std::string, std::less<>> requested; ///< Members read or searched for so far.
 };
 
 } // namespace lagoonward
--- a/Lagoonward/Configuration/Manifest.cpp
+++ b/Lagoonward/Configuration/Manifest.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// First item of that name, or nullptr.
+/// The first item with the name, or nullptr.
 template<typename Item>
 const Item*
 FindByName(const std::vector<Item>& aItems, std::string_view aName)
--- a/Lagoonward/Configuration/Manifest.h
+++ b/Lagoonward/Configuration/Manifest.h
@@ -9,45 +9,46 @@
 
 namespace lagoonward {
 
-/// Position of a record in a log stream. Also the version of a configuration and the number that
-/// fences a lease.
+/// Position of a record in a log stream. Also used as the version of a configuration and as the fencing
+/// number of a lease.
 using Offset = std::int64_t;
 
-/// No record yet.
+/// The offset that stands for no record.
 inline constexpr Offset kNoOffset = -1;
 
-/// One adapter of a model and the versions that may be asked for, the preferred one first.
+/// An adapter of a model and the versions that can be requested, the default one first.
 struct ManifestAdapter
 {
   std::string name;
   std::vector<std::string> versions;
 };
 
-/// One version of a model. The same name may stand in several entries with other versions; a request
-/// that names no version gets the first entry.
+/// One version of a model. Several entries may have the same name and different versions; a request
+/// without a version uses the first entry.
 struct ManifestModel
 {
   std::string name;
   std::string version;
   std::vector<ManifestAdapter> adapters;
-  int minEndpoints = 1; ///< Endpoints that must serve it after any one failure domain has gone.
+  int minEndpoints =
+    1; ///< Endpoints that must still serve it after the loss of any one failure domain.
 };
 
-/// A plain service that the market's callers may use.
+/// A plain service that clients of the market can call.
 struct ManifestService
 {
   std::string name;
-  bool repeatable = false; ///< Whether a call may be sent twice.
+  bool repeatable = false; ///< Whether a call is safe to repeat.
 };
 
-/// What the market owes one kind of caller.
+/// Service level targets of one request class.
 struct ManifestClass
 {
   std::string name;
-  Milliseconds firstToken{ 0 };    ///< Target for the first token.
-  Milliseconds betweenTokens{ 0 }; ///< Target between two tokens.
+  Milliseconds firstToken{ 0 };    ///< Target latency of the first token.
+  Milliseconds betweenTokens{ 0 }; ///< Target latency between two tokens.
   Milliseconds deadline{ 0 };      ///< Default deadline of a request.
-  int priority = 0;                ///< Higher goes first.
+  int priority = 0;                ///< Higher values are served first.
 };
 
 /// One client account.
@@ -55,21 +56,22 @@
 {
   std::string name;
   std::string keySha256;      ///< Lower-case hexadecimal SHA-256 of the client's key.
-  double weight = 1;          ///< Its share when capacity is short.
-  double tokensPerSecond = 0; ///< Limit over the whole deployment; zero means none.
+  double weight = 1;          ///< Its relative share when capacity is short.
+  double tokensPerSecond = 0; ///< Rate limit over the whole deployment; zero means no limit.
   double burstTokens =
-    0;                ///< Tokens it may use at once; zero takes AdmissionSettings::burstSeconds.
-  int concurrent = 0; ///< Requests running at once over the whole deployment; zero means none.
+    0; ///< Size of its token bucket; zero derives it from AdmissionSettings::burstSeconds.
+  int concurrent =
+    0; ///< Limit of concurrent requests over the whole deployment; zero means no limit.
 };
 
-/// What the market weighs when decisions compete. Sums to one.
+/// Weights of competing goals in decisions for the market. They sum to one.
 struct ManifestObjective
 {
   double cost = 0.5;
   double recomputedTokens = 0.5;
 };
 
-/// The declared state of one market, as read from a valid record. Field meanings follow
+/// The declared state of one market, as read from a valid record. The fields are described in
 /// docs/INTERFACES.md.
 struct Manifest
 {
@@ -81,7 +83,7 @@
   std::vector<ManifestClass> classes;
   std::vector<ManifestClient> clients;
   std::vector<std::string> machineClasses;
-  double priceCeiling = 0;   ///< Per host and hour; zero means none.
+  double priceCeiling = 0;   ///< Per host and hour; zero means no limit.
   bool ordersFenced = false; ///< Whether the endpoints check fencing numbers.
   ManifestObjective objective;
 
--- a/Lagoonward/Configuration/ManifestReader.cpp
+++ b/Lagoonward/Configuration/ManifestReader.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::size_t kMaxNameBytes = 128;
 constexpr std::size_t kSha256Digits = 64;
-constexpr IntegerRange kSpanRange{ 1, 7L * 24 * 3600 * 1000 }; ///< Milliseconds, up to a week.
+constexpr IntegerRange kDurationRange{ 1, 7L * 24 * 3600 * 1000 }; ///< Milliseconds, up to a week.
 constexpr IntegerRange kPriorityRange{ -1000, 1000 };
 constexpr IntegerRange kEndpointsRange{ 0, 100'000 };
 constexpr IntegerRange kConcurrentRange{ 0, 1'000'000 };
@@ -20,11 +20,10 @@
 constexpr NumberRange kWeightRange{ 1e-6, 1e6 };
 constexpr NumberRange kObjectiveRange{ 0, 1e6 };
 
-/// Characters that a name may not hold, beside control characters.
+/// Characters that a name must not contain, in addition to control characters.
 constexpr std::string_view kNoneForbidden;
-constexpr std::string_view kModelForbidden =
-  ":@"; ///< Separate the parts of `name:adapter@version`.
-constexpr std::string_view kPathForbidden = "/?# %"; ///< The name stands in a path.
+constexpr std::string_view kModelForbidden = ":@";   ///< Separators in `name:adapter@version`.
+constexpr std::string_view kPathForbidden = "/?# %"; ///< The name is used in a URL path.
 
 bool
 IsControl(char aCharacter)
@@ -33,7 +32,7 @@
   return byte < 0x20 || byte == 0x7f;
 }
 
-/// Empty if the name is fine, else what is wrong with it.
+/// Describes the fault of a name; empty if the name is valid.
 std::string
 CheckName(std::string_view aName, std::string_view aForbidden)
 {
@@ -44,10 +43,10 @@
     return "longer than 128 bytes";
   }
   if (std::any_of(aName.begin(), aName.end(), IsControl)) {
-    return "holds a control character";
+    return "contains a control character";
   }
   if (aName.find_first_of(aForbidden) != std::string_view::npos) {
-    return "holds one of the characters " + std::string(aForbidden);
+    return "contains one of the characters " + std::string(aForbidden);
   }
   return {};
 }
@@ -73,7 +72,7 @@
   return aMember.empty() ? entry : JoinJsonPointer(entry, aMember);
 }
 
-/// Reports each entry of an array that repeats an earlier one's key. Empty keys have a fault already.
+/// Reports each entry of an array whose key equals an earlier one. Empty keys are skipped; they have been reported.
 template<typename Item, typename KeyOf>
 void
 RejectRepeated(JsonReader& aReader, std::string_view aField, const std::vector<Item>& aItems,
@@ -83,7 +82,8 @@
   for (std::size_t index = 0; index < aItems.size(); ++index) {
     const std::string key = aKeyOf(aItems[index]);
     if (!key.empty() && !seen.insert(key).second) {
-      aReader.FaultAt(EntryPointer(aReader, aField, index, aMember), "given twice");
+      aReader.FaultAt(EntryPointer(aReader, aField, index, aMember),
+                      "duplicate of an earlier entry");
     }
   }
 }
@@ -101,7 +101,7 @@
 {
   auto names = aReader.ReadStrings(aField);
   for (std::size_t index = 0; index < names.size(); ++index) {
-    // An item of another type has its fault already
+    // A fault has already been reported for an item of another type
     const bool isString = (*aReader.Find(aField))[index].is_string();
     std::string fault = isString ? CheckName(names[index], kNoneForbidden) : "";
     if (!fault.empty()) {
@@ -120,7 +120,7 @@
   adapter.versions = ReadNames(aReader, "versions");
   const json* versions = aReader.Find("versions");
   if (versions != nullptr && versions->is_array() && versions->empty()) {
-    aReader.Fault("versions", "names no version");
+    aReader.Fault("versions", "expected at least one version");
   }
   aReader.RejectUnknown();
   return adapter;
@@ -156,9 +156,9 @@
 {
   ManifestClass result;
   result.name = ReadName(aReader, "name");
-  result.firstToken = Milliseconds(aReader.ReadInteger("first_token_ms", kSpanRange));
-  result.betweenTokens = Milliseconds(aReader.ReadInteger("between_tokens_ms", kSpanRange));
-  result.deadline = Milliseconds(aReader.ReadInteger("deadline_ms", kSpanRange));
+  result.firstToken = Milliseconds(aReader.ReadInteger("first_token_ms", kDurationRange));
+  result.betweenTokens = Milliseconds(aReader.ReadInteger("between_tokens_ms", kDurationRange));
+  result.deadline = Milliseconds(aReader.ReadInteger("deadline_ms", kDurationRange));
   result.priority = static_cast<int>(aReader.ReadInteger("priority", kPriorityRange));
   if (result.deadline.count() > 0 && result.deadline < result.firstToken) {
     aReader.Fault("deadline_ms", "earlier than first_token_ms");
@@ -175,7 +175,7 @@
   client.keySha256 = aReader.ReadString("key_sha256");
   const bool isHex = client.keySha256.find_first_not_of("0123456789abcdef") == std::string::npos;
   if (!client.keySha256.empty() && (!isHex || client.keySha256.size() != kSha256Digits)) {
-    aReader.Fault("key_sha256", "not 64 lower-case hexadecimal digits");
+    aReader.Fault("key_sha256", "expected 64 lower-case hexadecimal digits");
   }
   client.weight = aReader.ReadNumber("weight", kWeightRange, 1);
   client.tokensPerSecond = aReader.ReadNumber("tokens_per_second", kRateRange, 0);
@@ -196,7 +196,7 @@
   if (!(sum > 0)) {
     const bool complete = aReader.Has("cost") && aReader.Has("recomputed_tokens");
     if (complete) {
-      aReader.Fault("", "the weights are all zero");
+      aReader.Fault("", "expected at least one weight above zero");
     }
     return {};
   }
@@ -205,17 +205,17 @@
   return objective;
 }
 
-/// Reports an empty array where at least one entry is needed.
+/// Reports an array that is empty but needs at least one entry.
 void
-RequireEntries(JsonReader& aReader, std::string_view aField, std::string_view aWhat)
+RequireEntries(JsonReader& aReader, std::string_view aField, std::string_view aEntryName)
 {
   const json* array = aReader.Find(aField);
   if (array != nullptr && array->is_array() && array->empty()) {
-    aReader.Fault(aField, "names no " + std::string(aWhat));
+    aReader.Fault(aField, "expected at least one " + std::string(aEntryName));
   }
 }
 
-/// Reports what contradicts between two parts of the manifest.
+/// Reports contradictions between parts of the manifest.
 void
 CheckReferences(JsonReader& aReader, const Manifest& aManifest)
 {
@@ -227,13 +227,13 @@
   RejectRepeatedNames(aReader, "classes", aManifest.classes);
   RejectRepeatedNames(aReader, "clients", aManifest.clients);
 
-  // A key names one client account, or answers would go to the wrong one
+  // A key must identify one client account, otherwise responses could reach the wrong client
   RejectRepeated(aReader, "clients", aManifest.clients, "key_sha256",
                  [](const ManifestClient& aClient) { return aClient.keySha256; });
   const bool servesNothing = aManifest.models.empty() && aManifest.services.empty();
   const json* models = aReader.Find("models");
   if (servesNothing && models != nullptr && models->is_array()) {
-    aReader.Fault("models", "neither a model nor a service is named");
+    aReader.Fault("models", "expected at least one model or service");
   }
 }
 
--- a/Lagoonward/Configuration/ManifestWriter.cpp
+++ b/Lagoonward/Configuration/ManifestWriter.cpp
@@ -6,7 +6,7 @@
 
 using nlohmann::json;
 
-/// One array member from a list of entries.
+/// A JSON array with one element per entry.
 template<typename Item, typename WriteItem>
 json
 WriteList(const std::vector<Item>& aItems, WriteItem aWriteItem)
--- a/Lagoonward/Configuration/ManifestWriter.h
+++ b/Lagoonward/Configuration/ManifestWriter.h
@@ -6,7 +6,7 @@
 
 namespace lagoonward {
 
-/// The JSON value of a manifest; ReadManifest() gives an equal manifest back.
+/// The JSON value of a manifest. ReadManifest() restores an equal manifest from it.
 [[nodiscard]] nlohmann::json
 WriteManifest(const Manifest& aManifest);
 
--- a/Lagoonward/Configuration/MarketFollower.cpp
+++ b/Lagoonward/Configuration/MarketFollower.cpp
@@ -11,9 +11,9 @@
 
 const Log kLog("configuration");
 
-/// Whether operators should look at it.
+/// Whether the event is logged as a warning.
 bool
-IsTroubling(Kind aKind)
+IsWarning(Kind aKind)
 {
   return aKind == Kind::SkippedInvalid || aKind == Kind::CheckpointDisagrees ||
          aKind == Kind::GapFound;
@@ -41,21 +41,22 @@
 MarketFollower::Step()
 {
   if (this->NeedsPeers()) {
-    this->AskPeers();
+    this->QueryPeers();
   }
 
-  // Hold the read back only once something is in force; until then peers are asked again soon
+  // Use the long poll only once the configuration in force is known. Until then peers are queried again soon
   const auto state = this->Status();
-  const bool settled = state.offset != kNoOffset && state.certain;
-  const auto wait = settled ? this->settings.pollWait
+  const bool isKnown = state.offset != kNoOffset && state.certain;
+  const auto wait = isKnown ? this->settings.pollWait
                             : std::min(this->settings.pollWait, this->settings.peerInterval);
   const auto page = this->log.Read(ConfigurationStream(this->market), state.nextOffset,
                                    this->settings.pageLimit, wait);
-  this->SetReachable(page.has_value());
+  this->SetLogReachable(page.has_value());
   if (!page) {
     const auto delay = this->backoff.Next(page.error());
-    kLog.Warning("market {}: the log does not answer ({}); {} stays in force, next try in {} ms.",
-                 this->market, page.error().message, state.offset, delay.count());
+    kLog.Warning(
+      "market {}: reading the log failed ({}); offset {} stays in force, next attempt in {} ms.",
+      this->market, page.error().message, state.offset, delay.count());
     return delay;
   }
   this->backoff.Reset();
@@ -96,11 +97,11 @@
 bool
 MarketFollower::NeedsPeers() const
 {
-  if (!this->hooks.askPeers) {
+  if (!this->hooks.queryPeers) {
     return false;
   }
   const auto now = this->clock.Now();
-  if (this->peersAsked && now - *this->peersAsked < this->settings.peerInterval) {
+  if (this->lastPeerQuery && now - *this->lastPeerQuery < this->settings.peerInterval) {
     return false;
   }
   const auto state = this->Status();
@@ -108,10 +109,10 @@
 }
 
 void
-MarketFollower::AskPeers()
+MarketFollower::QueryPeers()
 {
-  this->peersAsked = this->clock.Now();
-  for (const auto& peerOffer : this->hooks.askPeers(this->market)) {
+  this->lastPeerQuery = this->clock.Now();
+  for (const auto& peerOffer : this->hooks.queryPeers(this->market)) {
     this->Adopt(peerOffer);
   }
 }
@@ -122,7 +123,8 @@
   const std::lock_guard lock(this->foldMutex);
   const Offset checkpointBefore = this->history.NewestCheckpoint();
   if (aPage.end < this->history.NextOffset()) {
-    kLog.Error("market {}: the log ends at {}, but {} was read before; {} stays in force.",
+    kLog.Error("market {}: the log ends at offset {}, but offset {} was read before; offset {} "
+               "stays in force.",
                this->market, aPage.end, this->history.NextOffset() - 1,
                this->history.OffsetInForce());
   }
@@ -140,13 +142,13 @@
 MarketFollower::Report(const ConfigurationHistory::Events& aEvents) const
 {
   for (const auto& event : aEvents) {
-    const auto level = IsTroubling(event.kind) ? LogLevel::Warning : LogLevel::Info;
+    const auto level = IsWarning(event.kind) ? LogLevel::Warning : LogLevel::Info;
     if (level == LogLevel::Warning) {
-      kLog.Warning("market {}: {} at {} by {}: {}.", this->market, ToString(event.kind),
+      kLog.Warning("market {}: {} at offset {} by {}: {}.", this->market, ToString(event.kind),
                    event.offset, ToString(event.publisher), event.detail);
     } else {
-      kLog.Info("market {}: {} at {} by {}: {}.", this->market, ToString(event.kind), event.offset,
-                ToString(event.publisher), event.detail);
+      kLog.Info("market {}: {} at offset {} by {}: {}.", this->market, ToString(event.kind),
+                event.offset, ToString(event.publisher), event.detail);
     }
   }
 }
@@ -178,10 +180,11 @@
     return;
   }
 
-  // Wait a whole interval again, whether or not the answer arrives: another daemon will notice
+  // Wait a full interval again even if the append fails: another daemon then notices the missing checkpoint
   this->checkpointSeen = this->clock.Now();
-  std::uniform_int_distribution<Milliseconds::rep> draw(0, this->settings.checkpointGrace.count());
-  this->checkpointJitter = Milliseconds(draw(this->random));
+  std::uniform_int_distribution<Milliseconds::rep> distribution(
+    0, this->settings.checkpointGrace.count());
+  this->checkpointJitter = Milliseconds(distribution(this->random));
   std::string text;
   {
     const std::lock_guard lock(this->foldMutex);
@@ -190,10 +193,10 @@
   }
   const auto appended = this->log.Append(ConfigurationStream(this->market), text);
   if (appended) {
-    kLog.Info("market {}: wrote the checkpoint of {} at {}.", this->market, state.offset,
-              appended.value());
+    kLog.Info("market {}: wrote the checkpoint of offset {} at offset {}.", this->market,
+              state.offset, appended.value());
   } else {
-    kLog.Warning("market {}: the checkpoint may be missing: {}.", this->market,
+    kLog.Warning("market {}: writing the checkpoint failed, it may be missing: {}.", this->market,
                  appended.error().message);
   }
 }
@@ -202,13 +205,13 @@
 MarketFollower::CheckpointIsDue(Offset aStart) const
 {
   const auto state = this->Status();
-  const auto turn =
+  const auto rankDelay =
     this->settings.checkpointGrace * this->CheckpointRank() + this->checkpointJitter;
 
-  // A checkpoint that no longer covers what lapsed is of no use to a new reader
-  const bool lapsed = aStart > 0 && state.newestCheckpoint < aStart;
+  // A new reader cannot use a checkpoint that does not cover all expired records
+  const bool expired = aStart > 0 && state.newestCheckpoint < aStart;
   const auto age = this->clock.Now() - this->checkpointSeen;
-  return age >= (lapsed ? turn : this->settings.checkpointInterval + turn);
+  return age >= (expired ? rankDelay : this->settings.checkpointInterval + rankDelay);
 }
 
 std::size_t
@@ -227,7 +230,7 @@
 }
 
 void
-MarketFollower::SetReachable(bool aReachable)
+MarketFollower::SetLogReachable(bool aReachable)
 {
   const std::lock_guard lock(this->stateMutex);
   this->status.logReachable = aReachable;
--- a/Lagoonward/Configuration/MarketFollower.h
+++ b/Lagoonward/Configuration/MarketFollower.h
@@ -9,36 +9,37 @@
 
 namespace lagoonward {
 
-/// What a follower needs from the rest of the daemon. Every function must be safe from any thread.
+/// Callbacks and ids that a follower needs from the rest of the daemon. All functions must be thread-safe.
 struct ConfigurationFollowerHooks
 {
-  /// Asks a few peers what is in force in a market; may block for a short time. May be empty.
-  std::function<std::vector<ConfigurationOffer>(const std::string& aMarket)> askPeers;
+  /// Queries a few peers for the configuration in force in a market. May block for a short time. May be empty.
+  std::function<std::vector<ConfigurationOffer>(const std::string& aMarket)> queryPeers;
 
   /// Ids of the live daemons that follow the same markets, this one included. May be empty.
   std::function<std::vector<std::string>()> liveDaemons;
 
-  /// Told of each change, in order. Must not call back into the follower, but for its queries.
+  /// Called for each change, in order. May call the follower's const functions only.
   std::function<void(const ConfigurationPtr& aConfiguration)> onChange;
 
   std::string daemonId;    ///< This daemon's id, as in liveDaemons.
   std::string incarnation; ///< This run of this daemon.
 };
 
-/// How far the following of one market has come, for `/status`.
+/// Read state of one market, for `/status`.
 struct MarketStatus
 {
   std::string market;
-  Offset offset = kNoOffset; ///< In force here.
+  Offset offset = kNoOffset; ///< Offset in force.
   Offset nextOffset = 0;     ///< First record not yet read.
-  bool certain = true;       ///< False while records that lapsed unread leave it open.
-  bool logReachable = false; ///< Whether the last read was answered.
+  bool certain =
+    true; ///< False while records that expired unread leave the configuration in force uncertain.
+  bool logReachable = false; ///< Whether the last read succeeded.
   Offset newestCheckpoint = kNoOffset;
 };
 
-/// Follows the stream of one market: reads, folds, tells of changes, asks peers where the log cannot
-/// tell, and repeats the checkpoint before it lapses. Step() is called by one thread in a loop; the
-/// other functions are safe from any thread.
+/// Follows the stream of one market: reads and folds the records, reports changes, queries peers while the
+/// log does not determine the configuration in force, and writes the checkpoint again before it expires.
+/// Step() is called by one thread in a loop; the other functions are safe from any thread.
 class MarketFollower
 {
 public:
@@ -46,23 +47,23 @@
   MarketFollower(std::string aMarket, const ConfigurationFollowerSettings& aSettings,
                  const ConfigurationFollowerHooks& aHooks, LogService& aLog, const Clock& aClock);
 
-  /// One round; blocks in the read for up to `pollWait`.
-  /// @return how long to wait before the next round
+  /// One read of the log; blocks for up to `pollWait`.
+  /// @return how long to wait before the next call
   [[nodiscard]] Milliseconds Step();
 
-  /// Takes what a peer has in force, if it is newer.
+  /// Adopts a peer's configuration if it is newer.
   void Adopt(const ConfigurationOffer& aOffer);
 
-  /// What is in force, or nullptr.
+  /// The configuration in force, or nullptr.
   [[nodiscard]] ConfigurationPtr Current() const;
 
-  /// What to tell peers.
+  /// The state to send to peers.
   [[nodiscard]] ConfigurationOffer Offer() const;
 
   [[nodiscard]] MarketStatus Status() const;
 
 private:
-  void AskPeers();
+  void QueryPeers();
   [[nodiscard]] bool NeedsPeers() const;
   void Fold(const LogPage& aPage);
   void Report(const ConfigurationHistory::Events& aEvents) const;
@@ -70,7 +71,7 @@
   void WriteCheckpointIfDue(const LogPage& aPage);
   [[nodiscard]] bool CheckpointIsDue(Offset aStart) const;
   [[nodiscard]] std::size_t CheckpointRank() const;
-  void SetReachable(bool aReachable);
+  void SetLogReachable(bool aReachable);
 
   const std::string market;
   const ConfigurationFollowerSettings& settings;
@@ -80,16 +81,17 @@
 
   // Used by Step() only
   Backoff backoff;
-  std::uint64_t nextSequence = 0;      ///< Of the next checkpoint written.
-  std::optional<TimePoint> peersAsked; ///< Last round of asking peers.
-  TimePoint checkpointSeen;            ///< When the newest checkpoint was read or tried.
-  Milliseconds checkpointJitter{ 0 };  ///< Drawn anew for each checkpoint.
+  std::uint64_t nextSequence = 0;         ///< Of the next checkpoint that is written.
+  std::optional<TimePoint> lastPeerQuery; ///< Time of the last peer queries.
+  TimePoint
+    checkpointSeen; ///< When the newest checkpoint was read, or its write was last attempted.
+  Milliseconds checkpointJitter{ 0 }; ///< Chosen at random for each checkpoint.
   std::mt19937_64 random;
 
-  std::mutex foldMutex; ///< Guards `history`, and keeps onChange calls in order.
+  std::mutex foldMutex; ///< Guards `history` and serializes the calls of onChange.
   ConfigurationHistory history;
 
-  mutable std::mutex stateMutex; ///< Guards what the queries read.
+  mutable std::mutex stateMutex; ///< Guards `offer` and `status`.
   ConfigurationOffer offer;
   MarketStatus status;
 };
--- a/Lagoonward/Configuration/MarketIndex.cpp
+++ b/Lagoonward/Configuration/MarketIndex.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::size_t kMaximumName = 64;
+constexpr std::size_t kMaxMarketNameBytes = 64;
 
 } // namespace
 
@@ -26,10 +26,10 @@
     return {};
   }
   const auto name = record["market"].get<std::string>();
-  const bool valid =
-    name.size() <= kMaximumName && std::all_of(name.begin(), name.end(), [](unsigned char aByte) {
-      return std::isalnum(aByte) != 0 || aByte == '-' || aByte == '_';
-    });
+  const bool valid = name.size() <= kMaxMarketNameBytes &&
+                     std::all_of(name.begin(), name.end(), [](unsigned char aByte) {
+                       return std::isalnum(aByte) != 0 || aByte == '-' || aByte == '_';
+                     });
   return valid ? name : std::string();
 }
 
@@ -59,8 +59,8 @@
   this->thread = std::jthread([this](const std::stop_token& aStop) {
     while (!aStop.stop_requested()) {
       if (!this->Step() && !aStop.stop_requested()) {
-        std::unique_lock lock(this->sleepMutex);
-        this->sleeping.wait_for(lock, aStop, this->settings.retryPause, [] { return false; });
+        std::unique_lock lock(this->retryMutex);
+        this->retryCondition.wait_for(lock, aStop, this->settings.retryPause, [] { return false; });
       }
     }
   });
@@ -86,9 +86,9 @@
     return false;
   }
   for (const LogRecord& record : page.value().records) {
-    this->Take(record);
+    this->Apply(record);
   }
-  // Names that lapsed unread come again when they are written forward
+  // Names that expired unread are appended again by a daemon that has read them
   this->next = std::max(this->next, page.value().start);
   this->hasRead = true;
   this->Refresh();
@@ -96,14 +96,14 @@
 }
 
 void
-MarketIndexReader::Take(const LogRecord& aRecord)
+MarketIndexReader::Apply(const LogRecord& aRecord)
 {
   this->next = std::max(this->next, aRecord.offset + 1);
   const std::string market = ReadMarketIndexRecord(aRecord.data);
   if (market.empty()) {
     return;
   }
-  this->seen[market] = this->clock.Now();
+  this->lastSeen[market] = this->clock.Now();
   this->hooks.onMarket(market);
 }
 
@@ -111,11 +111,12 @@
 MarketIndexReader::Refresh()
 {
   const TimePoint now = this->clock.Now();
-  for (auto& [market, at] : this->seen) {
+  for (auto& [market, seenAt] : this->lastSeen) {
     const auto due = this->settings.refreshAfter * (1 + this->hooks.refreshRank(market));
-    // A lost answer may write the name twice, which is harmless
-    if (now - at >= due && this->log.Append(kMarketIndexStream, WriteMarketIndexRecord(market))) {
-      at = now;
+    // If the response is lost, the name may be appended twice, which is harmless
+    if (now - seenAt >= due &&
+        this->log.Append(kMarketIndexStream, WriteMarketIndexRecord(market))) {
+      seenAt = now;
     }
   }
 }
--- a/Lagoonward/Configuration/RecordId.h
+++ b/Lagoonward/Configuration/RecordId.h
@@ -8,12 +8,13 @@
 
 namespace lagoonward {
 
-/// Identity of one thing that a process wrote to the log. An append whose answer was lost is settled
-/// by looking for it. Unique because an incarnation names one run of one process and is never reused.
+/// Identifies one record that a process appended to the log. If the response to an append is lost, the process
+/// searches the log for this id. Unique because an incarnation identifies one run of one process and is
+/// never reused.
 struct RecordId
 {
   std::string incarnation;    ///< One run of one process.
-  std::uint64_t sequence = 0; ///< Counts what that run has written.
+  std::uint64_t sequence = 0; ///< Counter of the records of that run.
 
   [[nodiscard]] auto operator<=>(const RecordId&) const = default;
 };
@@ -22,7 +23,7 @@
 [[nodiscard]] std::string
 MakeIncarnation();
 
-/// Reads a member `{"incarnation": …, "sequence": …}`.
+/// Reads an object member `{"incarnation": …, "sequence": …}`.
 [[nodiscard]] RecordId
 ReadRecordId(JsonReader& aReader, std::string_view aField);
 
--- a/Lagoonward/Configuration/StrictJson.cpp
+++ b/Lagoonward/Configuration/StrictJson.cpp
@@ -8,7 +8,7 @@
 
 using nlohmann::json;
 
-/// Follows the parser and notes what a finished value no longer shows: repeated members and depth.
+/// Parser callback that detects faults not visible in the parsed value: duplicate members and excessive nesting.
 class StructureCheck
 {
 public:
@@ -31,7 +31,7 @@
         this->FinishValue();
         return true;
       case json::parse_event_t::key:
-        this->NoteKey(aParsed.get_ref<const std::string&>());
+        this->RecordKey(aParsed.get_ref<const std::string&>());
         return true;
       case json::parse_event_t::value:
         this->FinishValue();
@@ -60,12 +60,12 @@
     return this->levels.size() <= kMaxJsonDepth;
   }
 
-  void NoteKey(const std::string& aKey)
+  void RecordKey(const std::string& aKey)
   {
     Level& level = this->levels.back();
     level.key = aKey;
     if (!level.keys.insert(aKey).second) {
-      this->faults.push_back({ this->Pointer(), "member given twice" });
+      this->faults.push_back({ this->Pointer(), "duplicate member" });
     }
   }
 
@@ -89,9 +89,9 @@
   std::vector<Level> levels;
 };
 
-/// The library's message without its bracketed name.
+/// The message of the library's exception without its prefix in brackets.
 std::string
-PlainMessage(const json::exception& aException)
+MessageWithoutPrefix(const json::exception& aException)
 {
   const std::string message = aException.what();
   const auto end = message.find("] ");
@@ -114,7 +114,7 @@
       return value;
     }
   } catch (const json::exception& exception) {
-    aFaults.push_back({ "", PlainMessage(exception) });
+    aFaults.push_back({ "", MessageWithoutPrefix(exception) });
   }
   return std::nullopt;
 }
--- a/Lagoonward/Configuration/StrictJson.h
+++ b/Lagoonward/Configuration/StrictJson.h
@@ -13,17 +13,17 @@
 struct JsonFault
 {
   std::string pointer; ///< JSON pointer (RFC 6901) of the value; empty for the whole document.
-  std::string message; ///< What is wrong with it, one short sentence.
+  std::string message; ///< Describes the fault in one short sentence.
 };
 
 using JsonFaults = std::vector<JsonFault>;
 
-/// Deepest nesting of objects and arrays that is read.
+/// Deepest nesting of objects and arrays that is accepted.
 inline constexpr std::size_t kMaxJsonDepth = 32;
 
-/// Parses a JSON text strictly: valid UTF-8, nothing behind the value, no member twice in one
-/// object, no deeper than kMaxJsonDepth.
-/// @param aFaults  gets one entry for each fault found
+/// Parses a JSON text strictly: valid UTF-8, no text after the value, no duplicate members in an
+/// object, nesting up to kMaxJsonDepth.
+/// @param aFaults  receives one entry for each fault
 /// @return the value, or nothing if there was any fault
 [[nodiscard]] std::optional<nlohmann::json>
 ParseStrictJson(std::string_view aText, JsonFaults& aFaults);
--- a/UnitTests/Configuration/ConfigurationPublisherTests.cpp
+++ b/UnitTests/Configuration/ConfigurationPublisherTests.cpp
@@ -33,19 +33,19 @@
 
 BOOST_AUTO_TEST_SUITE(ConfigurationPublisherTests)
 
-BOOST_AUTO_TEST_CASE(SecondOfOneBaseLosesAndLearnsWhoWon)
+BOOST_AUTO_TEST_CASE(PublishWithOldBaseLosesAndReportsWinner)
 {
   FakeLogService log;
   BOOST_TEST((PublishAs(log, "a").value().verdict == Verdict::Accepted));
   BOOST_TEST((PublishAs(log, "b").value().verdict == Verdict::Accepted));
-  const auto late = PublishAs(log, "c", 0).value();
-  BOOST_TEST((late.verdict == Verdict::Lost));
-  BOOST_TEST(late.inForce == 1);
-  BOOST_TEST(late.winner.incarnation == "b");
+  const auto outdated = PublishAs(log, "c", 0).value();
+  BOOST_TEST((outdated.verdict == Verdict::Lost));
+  BOOST_TEST(outdated.inForce == 1);
+  BOOST_TEST(outdated.winner.incarnation == "b");
   BOOST_TEST(log.End(kStream) == 2);
 }
 
-BOOST_AUTO_TEST_CASE(RacingPublishersHaveOneWinnerEach)
+BOOST_AUTO_TEST_CASE(OnlyOneOfConcurrentPublishersIsAccepted)
 {
   FakeLogService log;
   std::vector<std::thread> threads;
@@ -68,21 +68,21 @@
   BOOST_TEST(inForce.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(LostAnswersAreSettledByReading)
+BOOST_AUTO_TEST_CASE(LostAppendResponseIsResolvedByReadingTheLog)
 {
-  // It took effect: found, and not appended again
+  // The append took effect: the record is published and not appended again
   FakeLogService log;
   log.FailAppends({ Fault::AnswerLost });
-  const auto found = PublishAs(log, "a").value();
-  BOOST_TEST((found.verdict == Verdict::Accepted));
-  BOOST_TEST(found.offset == 0);
+  const auto published = PublishAs(log, "a").value();
+  BOOST_TEST((published.verdict == Verdict::Accepted));
+  BOOST_TEST(published.offset == 0);
   BOOST_TEST(log.End(kStream) == 1);
 
-  // It did not: appended again
+  // The append had no effect: the record is appended again
   log.FailAppends({ Fault::Refused, Fault::Refused });
   BOOST_TEST((PublishAs(log, "b").value().verdict == Verdict::Accepted));
 
-  // It takes effect after the second copy: only the first copy counts
+  // The append takes effect after the second copy: only the first copy is accepted
   log.FailAppends({ Fault::Late });
   const auto repeated = PublishAs(log, "c").value();
   BOOST_TEST((repeated.verdict == Verdict::Accepted));
@@ -91,7 +91,7 @@
   BOOST_TEST((PublishAs(log, "d", 2).value().verdict == Verdict::Accepted));
 }
 
-BOOST_AUTO_TEST_CASE(OutageIsNeverReportedAsAVerdict)
+BOOST_AUTO_TEST_CASE(OutageGivesErrorOrUnknownVerdict)
 {
   FakeLogService log;
   log.SetDown(true);
@@ -103,7 +103,7 @@
   BOOST_TEST((during.verdict == Verdict::Unknown));
 }
 
-BOOST_AUTO_TEST_CASE(LapsedHistoryNeedsABase)
+BOOST_AUTO_TEST_CASE(PublishRequiresBaseIfRecordsHaveExpired)
 {
   FakeLogService log;
   BOOST_TEST((PublishAs(log, "a").value().verdict == Verdict::Accepted));
--- a/UnitTests/Configuration/ManifestReaderTests.cpp
+++ b/UnitTests/Configuration/ManifestReaderTests.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// The pointers of all faults, in order, joined by spaces.
+/// The pointers of all faults in order, separated by spaces.
 std::string
 PointersOf(std::string_view aText)
 {
@@ -20,7 +20,7 @@
   return pointers;
 }
 
-/// The pointers of the faults after one change to a valid manifest.
+/// The pointers of the faults after a change to a valid manifest.
 std::string
 AfterChange(const std::string& aPointer, const nlohmann::json& aValue)
 {
@@ -33,7 +33,7 @@
 
 BOOST_AUTO_TEST_SUITE(ManifestReaderTests)
 
-BOOST_AUTO_TEST_CASE(ValidManifestSurvivesWritingAndReading)
+BOOST_AUTO_TEST_CASE(ValidManifestIsUnchangedByWriteAndRead)
 {
   const auto reading = ReadManifest(SampleManifestJson().dump());
   BOOST_TEST_REQUIRE(reading.manifest.has_value());
@@ -41,7 +41,7 @@
   BOOST_TEST(WriteManifest(*reading.manifest) == SampleManifestJson());
 }
 
-BOOST_AUTO_TEST_CASE(AllFaultsAreNamedAtOnce)
+BOOST_AUTO_TEST_CASE(AllFaultsAreReportedTogether)
 {
   auto manifest = SampleManifestJson();
   manifest.erase("region");
@@ -52,7 +52,7 @@
              "/region /classes/0/deadline_ms /clients/0/key_sha256 /extra~1field");
 }
 
-BOOST_AUTO_TEST_CASE(TypesAndRangesAreChecked)
+BOOST_AUTO_TEST_CASE(WrongTypesAndRangesAreFaults)
 {
   BOOST_TEST(AfterChange("/market", "a/b") == "/market");
   BOOST_TEST(AfterChange("/failure_domains", nlohmann::json::array()) == "/failure_domains");
@@ -81,7 +81,7 @@
              "/models/1/version /clients/1/name /clients/1/key_sha256");
 }
 
-BOOST_AUTO_TEST_CASE(TextThatIsNotStrictJsonIsRefused)
+BOOST_AUTO_TEST_CASE(InvalidJsonTextIsRejected)
 {
   BOOST_TEST(ReadManifest("").faults.size() == 1U);
   BOOST_TEST(ReadManifest("[]").faults.size() == 1U);
--- a/UnitTests/Configuration/MarketFollowerTests.cpp
+++ b/UnitTests/Configuration/MarketFollowerTests.cpp
@@ -26,7 +26,7 @@
   return WriteConfigurationRecord(record);
 }
 
-/// One follower with everything that it needs.
+/// A follower and its dependencies.
 struct Fixture
 {
   explicit Fixture(FakeLogService& aLog, const std::string& aId = "d-1")
@@ -34,7 +34,7 @@
     this->hooks.daemonId = aId;
     this->hooks.incarnation = aId + "#1";
     this->hooks.liveDaemons = [] { return std::vector<std::string>{ "d-1", "d-2", "d-3" }; };
-    this->hooks.askPeers = [this](const std::string&) { return this->offers; };
+    this->hooks.queryPeers = [this](const std::string&) { return this->offers; };
     this->hooks.onChange = [this](const ConfigurationPtr& aConfiguration) {
       this->changes.push_back(aConfiguration->offset);
     };
@@ -42,8 +42,8 @@
       std::make_unique<MarketFollower>(kMarket, this->settings, this->hooks, aLog, this->clock);
   }
 
-  /// One round.
-  /// @return whether the log answered
+  /// Calls Step() once.
+  /// @return whether the read of the log succeeded
   [[nodiscard]] bool ReadsLog() const
   {
     const auto pause = this->follower->Step();
@@ -62,7 +62,7 @@
 
 BOOST_AUTO_TEST_SUITE(MarketFollowerTests)
 
-BOOST_AUTO_TEST_CASE(OutageKeepsTheLastAndBacksOff)
+BOOST_AUTO_TEST_CASE(LastConfigurationStaysAndReadsBackOffDuringOutage)
 {
   FakeLogService log;
   BOOST_TEST(log.Append(kStream, ManifestRecord(kNoOffset)).has_value());
@@ -84,7 +84,7 @@
   BOOST_TEST(daemon.changes == (std::vector<Offset>{ 0, 1 }));
 }
 
-BOOST_AUTO_TEST_CASE(NewDaemonTakesOffsetFromPeersDuringAnOutage)
+BOOST_AUTO_TEST_CASE(NewDaemonAdoptsPeerConfigurationDuringOutage)
 {
   FakeLogService log;
   BOOST_TEST(log.Append(kStream, ManifestRecord(kNoOffset)).has_value());
@@ -99,14 +99,14 @@
   BOOST_TEST(cold.follower->Step().count() > 0);
   BOOST_TEST(cold.follower->Current()->offset == 1);
 
-  // Back with the log, it goes on where the peer was
+  // With the log available again, it continues from the peer's offset
   log.SetDown(false);
   BOOST_TEST(log.Append(kStream, ManifestRecord(1)).has_value());
   BOOST_TEST(cold.ReadsLog());
   BOOST_TEST(cold.changes == (std::vector<Offset>{ 1, 2 }));
 }
 
-BOOST_AUTO_TEST_CASE(OneDaemonRepeatsTheCheckpointBeforeItLapses)
+BOOST_AUTO_TEST_CASE(OneDaemonWritesTheCheckpointPerInterval)
 {
   FakeLogService log;
   BOOST_TEST(log.Append(kStream, ManifestRecord(kNoOffset)).has_value());
@@ -115,7 +115,7 @@
     daemons.push_back(std::make_unique<Fixture>(log, id));
   }
 
-  // Two intervals with all daemons: one checkpoint each; then the first of them is gone
+  // Two intervals with all daemons give one checkpoint each. The first daemon is stopped for the last interval
   const auto run = [&](Milliseconds aSpan, std::size_t aFirst) {
     for (Milliseconds passed{ 0 }; passed < aSpan; passed += Seconds(1)) {
       for (std::size_t index = aFirst; index < daemons.size(); ++index) {
@@ -129,7 +129,7 @@
   run(Seconds(300 + 60), 1);
   BOOST_TEST(log.End(kStream) == 4);
 
-  // A new daemon finds only the newest checkpoint
+  // For a new daemon only the newest checkpoint is retained
   log.Truncate(kStream, 3);
   Fixture cold(log, "d-4");
   BOOST_TEST(cold.ReadsLog());
@@ -137,7 +137,7 @@
   BOOST_TEST(cold.follower->Status().certain);
 }
 
-BOOST_AUTO_TEST_CASE(PausedDaemonReloadsFromAPeerAfterAGap)
+BOOST_AUTO_TEST_CASE(PausedDaemonAdoptsPeerConfigurationAfterAGap)
 {
   FakeLogService log;
   BOOST_TEST(log.Append(kStream, ManifestRecord(kNoOffset)).has_value());
@@ -145,20 +145,20 @@
   BOOST_TEST(paused.ReadsLog());
   BOOST_TEST(log.Append(kStream, ManifestRecord(0)).has_value());
   BOOST_TEST(log.Append(kStream, ManifestRecord(1)).has_value());
-  Fixture awake(log, "d-2");
-  BOOST_TEST(awake.ReadsLog());
+  Fixture running(log, "d-2");
+  BOOST_TEST(running.ReadsLog());
   log.Truncate(kStream, 3);
   BOOST_TEST(paused.ReadsLog());
   BOOST_TEST(!paused.follower->Status().certain);
   BOOST_TEST(paused.follower->Current()->offset == 0);
-  paused.offers = { awake.follower->Offer() };
+  paused.offers = { running.follower->Offer() };
   paused.clock.Advance(Seconds(2));
   BOOST_TEST(paused.ReadsLog());
   BOOST_TEST(paused.follower->Status().certain);
   BOOST_TEST(paused.follower->Current()->offset == 2);
 }
 
-BOOST_AUTO_TEST_CASE(ServiceFollowsOnItsOwnThreads)
+BOOST_AUTO_TEST_CASE(ServiceFollowsMarketsOnItsThreads)
 {
   FakeLogService log;
   VirtualClock clock;
--- a/UnitTests/Configuration/MarketIndexTests.cpp
+++ b/UnitTests/Configuration/MarketIndexTests.cpp
@@ -9,13 +9,13 @@
 
 namespace {
 
-/// A log in memory that can be away.
+/// An in-memory log that can be made unavailable.
 class MemoryLog final : public LogService
 {
 public:
   Result<Offset> Append(std::string_view, std::string_view aRecord) override
   {
-    if (this->away) {
+    if (this->unavailable) {
       return Error(ErrorKind::PlatformUnavailable, "away");
     }
     this->records.emplace_back(aRecord);
@@ -24,7 +24,7 @@
 
   Result<LogPage> Read(std::string_view, Offset aFrom, int, Milliseconds) override
   {
-    if (this->away) {
+    if (this->unavailable) {
       return Error(ErrorKind::PlatformUnavailable, "away");
     }
     LogPage page;
@@ -40,7 +40,7 @@
 
   std::vector<std::string> records;
   Offset start = 0;
-  bool away = false;
+  bool unavailable = false;
 };
 
 struct Fixture
@@ -60,7 +60,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(MarketIndexTests, Fixture)
 
-BOOST_AUTO_TEST_CASE(NamesAreReadAndRubbishSkipped)
+BOOST_AUTO_TEST_CASE(ValidNamesAreReadAndInvalidRecordsSkipped)
 {
   this->log.records = { "rubbish", WriteMarketIndexRecord("a"), R"({"market":"../b"})",
                         R"({"market":7})", WriteMarketIndexRecord("c-1") };
@@ -69,7 +69,7 @@
              boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(NamesAreWrittenForwardByRank)
+BOOST_AUTO_TEST_CASE(NameIsAppendedAgainByFirstRankWhenDue)
 {
   this->log.records = { WriteMarketIndexRecord("a") };
   BOOST_TEST(this->reader.Step());
@@ -84,14 +84,14 @@
   BOOST_TEST(this->log.records.size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(OutageIsReportedAndChangesNothing)
+BOOST_AUTO_TEST_CASE(StepFailsWithoutMarketsDuringOutage)
 {
-  this->log.away = true;
+  this->log.unavailable = true;
   BOOST_TEST(!this->reader.Step());
   BOOST_TEST(this->markets.empty());
 }
 
-BOOST_AUTO_TEST_CASE(LapsedRecordsAreSkipped)
+BOOST_AUTO_TEST_CASE(ExpiredRecordsAreSkipped)
 {
   this->log.records = { WriteMarketIndexRecord("a"), WriteMarketIndexRecord("b") };
   this->log.start = 1;
