--- a/Lagoonward/Fleet/AnsweredSpan.cpp
+++ b/Lagoonward/Fleet/AnsweredSpan.cpp
@@ -11,9 +11,9 @@
     return;
   }
   const bool isKnown = this->until != TimePoint::min();
-  const bool joins =
+  const bool canMerge =
     isKnown && aOther.since <= this->until + aGap && this->since <= aOther.until + aGap;
-  if (joins) {
+  if (canMerge) {
     this->since = std::min(this->since, aOther.since);
     this->until = std::max(this->until, aOther.until);
   } else if (aOther.until > this->until) {
--- a/Lagoonward/Fleet/AnsweredSpan.h
+++ b/Lagoonward/Fleet/AnsweredSpan.h
@@ -4,18 +4,18 @@
 
 namespace lagoonward {
 
-/// A span during which a source of records answered whoever asked it. Spans that several daemons have seen join into one
-/// where they overlap or nearly do.
+/// A time interval during which a record source responded to requests. Intervals observed by several daemons are merged
+/// if they overlap or the pause between them is short.
 struct AnsweredSpan
 {
-  TimePoint since = TimePoint::min(); ///< Both are TimePoint::min() while nothing is known.
+  TimePoint since = TimePoint::min(); ///< Both are TimePoint::min() while no interval is known.
   TimePoint until = TimePoint::min();
 
-  /// Takes in another span.
-  /// @param aGap  a pause between two spans in which nothing can have been missed
+  /// Merges another interval. If the two cannot be merged, the one that ends later is kept.
+  /// @param aGap  longest pause between two intervals in which no outage can have been missed
   void Add(const AnsweredSpan& aOther, Milliseconds aGap);
 
-  /// Whether the source answered from one moment to another.
+  /// Whether the source responded during the whole time from aSince to aUntil.
   [[nodiscard]] bool Covers(TimePoint aSince, TimePoint aUntil) const;
 };
 
--- a/Lagoonward/Fleet/Endpoint.h
+++ b/Lagoonward/Fleet/Endpoint.h
@@ -9,19 +9,19 @@
 
 namespace lagoonward {
 
-/// What stands behind an endpoint.
+/// The kind of server at an endpoint.
 enum class EndpointKind
 {
   Engine,  ///< A model engine.
   Service, ///< A plain service.
 };
 
-/// Whether an endpoint may get work.
+/// Whether an endpoint accepts requests.
 enum class EndpointState
 {
-  Live,    ///< Takes new work.
-  Leaving, ///< Announced to go; finishes or moves what it has, takes nothing new.
-  Ejected, ///< Gets nothing new for now, as it failed a new connection or its entry cannot be read.
+  Live,    ///< Accepts new requests.
+  Leaving, ///< Announced to terminate; its requests finish or are moved, new ones are not sent to it.
+  Ejected, ///< Temporarily gets no new requests, because a new connection failed or its entry cannot be read.
 };
 
 /// An adapter that an engine has loaded.
@@ -39,7 +39,7 @@
   std::vector<LoadedAdapter> adapters;
 };
 
-/// An engine's own report of its load, as of a moment in the past.
+/// The load that an engine reported, as of `asOf`.
 struct EndpointLoad
 {
   int waiting = 0;
@@ -48,18 +48,18 @@
   std::int64_t kvBlocksTotal = 0;
   std::vector<LoadedModel> models;
   std::string role;
-  WallTime asOf; ///< When the engine took the reading.
+  WallTime asOf; ///< When the engine measured the load.
 };
 
-/// One endpoint as this daemon currently knows it.
+/// The state of one endpoint as known to this daemon.
 struct Endpoint
 {
-  std::string id; ///< The host list's id of the host.
-  /// Unix time of its start in milliseconds, which names one life of the id; zero where it is not told. A later life
-  /// holds and knows nothing of an earlier one.
+  std::string id; ///< Id of the host in the host list.
+  /// Unix time of its start in milliseconds, which identifies one instance of the id; zero if not reported. A later
+  /// instance has no state of an earlier one.
   std::int64_t born = 0;
   EndpointKind kind = EndpointKind::Engine;
-  std::string address; ///< IP number.
+  std::string address; ///< IP address.
   std::uint16_t port = 0;
   std::string failureDomain;
   std::string region;
@@ -67,17 +67,17 @@
   std::string name; ///< A plain service's name; empty for engines.
   EndpointState state = EndpointState::Live;
   bool reclaimable = true;
-  bool movesStreams = false; ///< Copies the memory of a run to another one on demand.
+  bool movesStreams = false; ///< Can copy the KV cache of a run to another endpoint on request.
   double fetchSecondsPerToken =
-    0;               ///< Time to fetch a kept prompt token from another one; zero if it cannot.
-  int sequences = 0; ///< Requests that it runs at once, if it says so; else zero.
-  double pricePerHour = 0;            ///< Zero when no price is known.
-  std::optional<TimePoint> goneAfter; ///< Last moment at which a leaving host is still promised.
-  std::optional<EndpointLoad> load;   ///< Nothing until the first report.
+    0; ///< Time to fetch a cached prompt token from another endpoint; zero if it cannot.
+  int sequences = 0;       ///< Requests that it can run concurrently; zero if not reported.
+  double pricePerHour = 0; ///< Zero if no price is known.
+  std::optional<TimePoint> goneAfter; ///< Time until which a leaving host is guaranteed to run.
+  std::optional<EndpointLoad> load;   ///< Empty until the first report.
 };
 
-/// Names one life of an endpoint across all tables, so that nothing that is known of one life is taken for
-/// another's: cached prompts, requests in flight, failures.
+/// The key of one instance of an endpoint in all tables, so that cached prompts, requests in flight and failures of
+/// one instance are not attributed to another.
 [[nodiscard]] std::uint64_t
 EndpointKeyOf(const Endpoint& aEndpoint);
 
--- a/Lagoonward/Fleet/EndpointDirectory.cpp
+++ b/Lagoonward/Fleet/EndpointDirectory.cpp
@@ -23,7 +23,7 @@
     entry = {};
   }
   const Endpoint& known = entry.endpoint;
-  // Who has said that it leaves does not come back in the same life
+  // Leaving is final for an instance; an older entry may still arrive late
   if (known.state == EndpointState::Leaving) {
     aEndpoint.state = EndpointState::Leaving;
   }
@@ -46,31 +46,31 @@
 }
 
 bool
-EndpointDirectory::IsAroundOutage() const
+EndpointDirectory::IsNearOutage() const
 {
   const bool isRecent =
-    this->answersSince && this->clock.Now() < *this->answersSince + this->settings.returnGrace;
-  return (!this->sourceAnswers || isRecent) && !this->WasSeenThroughout();
+    this->outageEnd && this->clock.Now() < *this->outageEnd + this->settings.returnGrace;
+  return (!this->sourceAvailable || isRecent) && !this->WasAvailableToOthers();
 }
 
 bool
-EndpointDirectory::WasSeenThroughout() const
+EndpointDirectory::WasAvailableToOthers() const
 {
-  // Entries of live endpoints lapse only where the source itself is away. Held back because of one host's own trouble, a
-  // removal would bind there later than an endpoint that leaves must be known
-  if (!this->lostAt) {
+  // Entries of live endpoints expire only if the source itself is unavailable. If a removal were delayed because only
+  // this host cannot reach the source, it would take effect too late: leaving endpoints must be known sooner
+  if (!this->outageStart) {
     return false;
   }
-  const TimePoint shown = this->clock.Now() - this->settings.shortestOutage;
+  const TimePoint latestObservable = this->clock.Now() - this->settings.shortestOutage;
   const TimePoint until =
-    this->sourceAnswers ? *this->answersSince : std::max(*this->lostAt, shown);
-  return this->seen.Covers(*this->lostAt - this->settings.shortestOutage, until);
+    this->sourceAvailable ? *this->outageEnd : std::max(*this->outageStart, latestObservable);
+  return this->availability.Covers(*this->outageStart - this->settings.shortestOutage, until);
 }
 
 void
 EndpointDirectory::OnSourceSeen(const AnsweredSpan& aSpan)
 {
-  this->seen.Add(aSpan, this->settings.shortestOutage);
+  this->availability.Add(aSpan, this->settings.shortestOutage);
 }
 
 bool
@@ -80,7 +80,7 @@
   if (found == this->entries.end() || found->second.removedAt) {
     return false;
   }
-  if (this->IsAroundOutage() && found->second.endpoint.state == EndpointState::Live) {
+  if (this->IsNearOutage() && found->second.endpoint.state == EndpointState::Live) {
     found->second.missingSince = this->clock.Now();
     return false;
   }
@@ -106,29 +106,29 @@
 }
 
 void
-EndpointDirectory::OnSource(bool aAnswers)
+EndpointDirectory::OnSource(bool aAvailable)
 {
-  if (aAnswers && !this->sourceAnswers) {
-    this->answersSince = this->clock.Now();
+  if (aAvailable && !this->sourceAvailable) {
+    this->outageEnd = this->clock.Now();
   }
-  if (!aAnswers && this->sourceAnswers) {
-    this->lostAt = this->clock.Now();
+  if (!aAvailable && this->sourceAvailable) {
+    this->outageStart = this->clock.Now();
   }
-  this->sourceAnswers = aAnswers;
+  this->sourceAvailable = aAvailable;
 }
 
 bool
 EndpointDirectory::Tick()
 {
   const TimePoint now = this->clock.Now();
-  const auto forgotten = std::erase_if(this->entries, [&](const auto& aEntry) {
+  const auto evicted = std::erase_if(this->entries, [&](const auto& aEntry) {
     const auto& removedAt = aEntry.second.removedAt;
-    return removedAt && now >= *removedAt + this->settings.removedMemory;
+    return removedAt && now >= *removedAt + this->settings.removedRetention;
   });
-  if (this->IsAroundOutage()) {
-    return forgotten > 0;
+  if (this->IsNearOutage()) {
+    return evicted > 0;
   }
-  bool changed = forgotten > 0;
+  bool changed = evicted > 0;
   for (auto& [id, entry] : this->entries) {
     if (entry.missingSince) {
       entry.missingSince.reset();
--- a/Lagoonward/Fleet/EndpointDirectory.h
+++ b/Lagoonward/Fleet/EndpointDirectory.h
@@ -10,54 +10,56 @@
 
 namespace lagoonward {
 
-/// Tunables of the endpoint directory.
+/// Settings of EndpointDirectory.
 struct EndpointDirectorySettings
 {
-  /// How long entries that vanish around an outage of their source are kept after its return. Entries
-  /// of live endpoints lapse with the source and are back within about two seconds.
+  /// How long entries that disappear around an outage of their source are kept after the outage ends. Entries
+  /// of live endpoints expire with the source and are written again within about two seconds.
   Milliseconds returnGrace{ 2200 };
 
-  /// No entry lapses in an outage as short as this, and an outage is noticed within it.
+  /// Entries do not expire in outages up to this length, and outages are detected within it.
   Milliseconds shortestOutage{ 1500 };
 
-  /// How long an endpoint whose entry was removed is still known, as leaving: it serves on for a while, and
-  /// what runs there may be moved.
-  Milliseconds removedMemory{ 10'000 };
+  /// How long an endpoint whose entry was removed is retained as leaving. It continues to serve for a while, and
+  /// its streams can be moved.
+  Milliseconds removedRetention{ 10'000 };
 };
 
-/// Endpoints as their own entries in the platform's store name them. An entry that says "leaving" binds at
-/// once and for good; one that is removed while the store answers leaves, too, until it comes back; one that
-/// vanishes around an outage of the store gets time to return, unless others saw the store answer all the while; one that
-/// cannot be read gets no new work until it can. Not thread-safe.
+/// Endpoints according to the entries that they write to the platform's store. An entry with state "leaving" takes
+/// effect immediately and is final for that instance. An endpoint whose entry is removed while the store responds is
+/// leaving until the entry reappears. An entry that disappears around an outage of the store is kept for `returnGrace`,
+/// unless other hosts observed that the store responded the whole time. An endpoint whose entry cannot be read gets no
+/// new requests until it can be read again. Not thread-safe.
 class EndpointDirectory
 {
 public:
   EndpointDirectory(const EndpointDirectorySettings& aSettings, const Clock& aClock);
 
-  /// Takes an entry. A later life of its id begins anew; an earlier one changes nothing.
-  /// @return whether the picture has changed
+  /// Handles an entry. A later instance of an id replaces the state of the earlier one; an earlier instance is ignored.
+  /// @return whether the snapshot has changed
   bool OnEntry(Endpoint aEndpoint);
 
-  /// An entry has become unreadable: it names no endpoint to use until it is readable again.
-  /// @return whether the picture has changed
+  /// Handles an entry that cannot be read: its endpoint is ejected until the entry can be read again.
+  /// @return whether the snapshot has changed
   bool OnUnreadable(const std::string& aId);
 
-  /// An entry has been removed.
-  /// @return whether the picture has changed
+  /// Handles the removal of an entry.
+  /// @return whether the snapshot has changed
   bool OnRemoved(const std::string& aId);
 
-  /// The source was read whole: entries that are not among the ids have gone.
-  /// @return whether the picture has changed
+  /// Handles a full read of the source: entries that are not among aIds are removed.
+  /// @return whether the snapshot has changed
   bool OnWhole(const std::vector<std::string>& aIds);
 
-  /// The source does not answer, or answers again.
-  void OnSource(bool aAnswers);
+  /// Sets whether the source responds.
+  void OnSource(bool aAvailable);
 
-  /// The source was seen to answer during a span, by this host or another one.
+  /// Adds an interval during which this host or another one observed that the source responded.
   void OnSourceSeen(const AnsweredSpan& aSpan);
 
-  /// Removes what has had its time to return. To be called every few hundred milliseconds.
-  /// @return whether the picture has changed
+  /// Removes missing entries whose grace period has ended, and evicts old removed ones. To be called every few hundred
+  /// milliseconds.
+  /// @return whether the snapshot has changed
   bool Tick();
 
   /// The endpoints, in the order of their ids.
@@ -67,22 +69,22 @@
   struct Entry
   {
     Endpoint endpoint;
-    std::optional<TimePoint> missingSince; ///< Its entry vanished around an outage.
-    std::optional<TimePoint> removedAt;    ///< Its entry was removed.
+    std::optional<TimePoint> missingSince; ///< When its entry disappeared around an outage.
+    std::optional<TimePoint> removedAt;    ///< When its entry was removed.
     bool unreadable = false;
   };
 
-  [[nodiscard]] bool IsAroundOutage() const;
-  /// Whether it was only this host that the source did not answer.
-  [[nodiscard]] bool WasSeenThroughout() const;
+  [[nodiscard]] bool IsNearOutage() const;
+  /// Whether the source responded to other hosts during this host's last outage.
+  [[nodiscard]] bool WasAvailableToOthers() const;
 
   EndpointDirectorySettings settings;
   const Clock& clock;
   std::map<std::string, Entry> entries;
-  bool sourceAnswers = true;
-  std::optional<TimePoint> lostAt;       ///< Begin of the last outage.
-  std::optional<TimePoint> answersSince; ///< End of the last outage.
-  AnsweredSpan seen;                     ///< Joined over all hosts that told.
+  bool sourceAvailable = true;
+  std::optional<TimePoint> outageStart; ///< Start of the last outage.
+  std::optional<TimePoint> outageEnd;   ///< End of the last outage.
+  AnsweredSpan availability;            ///< Merged from the observations of all hosts.
   std::uint64_t generation = 0;
 };
 
--- a/Lagoonward/Fleet/FleetSnapshot.h
+++ b/Lagoonward/Fleet/FleetSnapshot.h
@@ -8,7 +8,7 @@
 
 namespace lagoonward {
 
-/// A host price that the cloud offers.
+/// The price of a host class at the cloud provider.
 struct Price
 {
   std::string machineClass;
@@ -17,15 +17,15 @@
   double perHour = 0;
 };
 
-/// Immutable picture of all endpoints. The control thread builds a new one for each change and
-/// publishes it; traffic threads only read.
+/// Immutable snapshot of all endpoints. The control thread builds and publishes a new one for each change;
+/// traffic threads only read it.
 struct FleetSnapshot
 {
-  std::uint64_t generation = 0; ///< Grows by one with each published snapshot.
+  std::uint64_t generation = 0; ///< Increases by one with each published snapshot.
   std::vector<Endpoint> endpoints;
   std::vector<Price> prices;
 
-  /// The endpoint of that id, or nullptr. Linear; not for hot paths.
+  /// The endpoint with the id, or nullptr. Linear search; not for hot paths.
   [[nodiscard]] const Endpoint* Find(std::string_view aId) const;
 };
 
--- a/Lagoonward/Fleet/FleetStore.h
+++ b/Lagoonward/Fleet/FleetStore.h
@@ -6,7 +6,7 @@
 
 namespace lagoonward {
 
-/// Holds the fleet snapshot in force. The control thread publishes, any thread reads.
+/// Holds the current fleet snapshot. The control thread publishes it, any thread can read it.
 class FleetStore
 {
 public:
--- a/UnitTests/Configuration/ConfigurationPublisherTests.cpp
+++ b/UnitTests/Configuration/ConfigurationPublisherTests.cpp
@@ -70,7 +70,7 @@
 
 BOOST_AUTO_TEST_CASE(LostAppendResponseIsResolvedByReadingTheLog)
 {
-  // The append took effect: the record is published and not appended again
+  // The append took effect: the record is found and not appended again
   FakeLogService log;
   log.FailAppends({ Fault::AnswerLost });
   const auto published = PublishAs(log, "a").value();
--- a/UnitTests/Fleet/EndpointDirectoryTests.cpp
+++ b/UnitTests/Fleet/EndpointDirectoryTests.cpp
@@ -22,7 +22,7 @@
 
 BOOST_AUTO_TEST_SUITE(EndpointDirectoryTests)
 
-BOOST_AUTO_TEST_CASE(ARemovedEndpointLeavesAtOnceAndIsForgottenLater)
+BOOST_AUTO_TEST_CASE(RemovedEndpointIsLeavingUntilRetentionEnds)
 {
   VirtualClock clock;
   EndpointDirectory directory({}, clock);
@@ -30,7 +30,7 @@
   BOOST_TEST(!directory.OnEntry(MakeEndpoint("a")));
   BOOST_TEST(directory.OnRemoved("a"));
   BOOST_TEST(!directory.OnRemoved("a"));
-  // What runs there can still be moved
+  // It is kept as leaving so that its streams can still be moved
   BOOST_TEST((directory.Snapshot()->endpoints.at(0).state == EndpointState::Leaving));
   clock.Advance(Seconds(9));
   BOOST_TEST(!directory.Tick());
@@ -39,12 +39,12 @@
   BOOST_TEST(directory.Snapshot()->endpoints.empty());
 }
 
-BOOST_AUTO_TEST_CASE(ARemovalBindsWhereTheSourceWasSeenThroughoutByOthers)
+BOOST_AUTO_TEST_CASE(RemovalTakesEffectIfOthersSawSourceDuringWholeOutage)
 {
   VirtualClock clock;
   clock.Advance(Seconds(60));
   EndpointDirectory directory({}, clock);
-  const TimePoint begun = clock.Now();
+  const TimePoint testStart = clock.Now();
   directory.OnEntry(MakeEndpoint("a"));
   directory.OnEntry(MakeEndpoint("b"));
   clock.Advance(Seconds(10));
@@ -52,41 +52,41 @@
   clock.Advance(Seconds(5));
   directory.OnSource(true);
 
-  // Seen until it was lost here, or only since it is back: it may have been away for all
-  directory.OnSourceSeen({ begun, begun + Seconds(10) });
+  // Observed only before this host's outage and after it: the source may have been unavailable to all hosts
+  directory.OnSourceSeen({ testStart, startTime + Seconds(10) });
   BOOST_TEST(!directory.OnRemoved("a"));
-  directory.OnSourceSeen({ begun + Seconds(14), begun + Seconds(15) });
+  directory.OnSourceSeen({ testStart + Seconds(14), startTime + Seconds(15) });
   BOOST_TEST(!directory.OnRemoved("a"));
   BOOST_TEST(!directory.Tick());
 
-  // Seen all the while: what was held back binds as well
-  directory.OnSourceSeen({ begun, begun + Seconds(15) });
+  // Observed during the whole outage: the delayed removal takes effect as well
+  directory.OnSourceSeen({ testStart, startTime + Seconds(15) });
   BOOST_TEST(directory.OnRemoved("b"));
   BOOST_TEST(directory.Tick());
   BOOST_TEST((directory.Snapshot()->endpoints.at(0).state == EndpointState::Leaving));
 }
 
-BOOST_AUTO_TEST_CASE(WhoHasLostTheSourceTakesRemovalsWhileOthersSeeIt)
+BOOST_AUTO_TEST_CASE(RemovalTakesEffectDuringOwnOutageWhileOthersSeeSource)
 {
   VirtualClock clock;
   clock.Advance(Seconds(60));
   EndpointDirectory directory({}, clock);
-  const TimePoint begun = clock.Now();
+  const TimePoint testStart = clock.Now();
   directory.OnEntry(MakeEndpoint("a"));
   directory.OnEntry(MakeEndpoint("b"));
   clock.Advance(Seconds(10));
   directory.OnSource(false);
   clock.Advance(Seconds(3));
-  directory.OnSourceSeen({ begun, clock.Now() });
+  directory.OnSourceSeen({ testStart, clock.Now() });
   BOOST_TEST(directory.OnRemoved("a"));
-  // Others see it no more, either
+  // No recent observation by other hosts either
   clock.Advance(Seconds(3));
   BOOST_TEST(!directory.OnRemoved("b"));
 }
 
-BOOST_AUTO_TEST_CASE(ARemovedEndpointMayComeBack)
+BOOST_AUTO_TEST_CASE(RemovedEndpointIsLiveAgainOnNewEntry)
 {
-  // It had been silent for too long, and lives
+  // The entry of a live endpoint had expired because it was not renewed in time
   VirtualClock clock;
   EndpointDirectory directory({}, clock);
   directory.OnEntry(MakeEndpoint("a"));
@@ -95,7 +95,7 @@
   BOOST_TEST((directory.Snapshot()->endpoints.at(0).state == EndpointState::Live));
 }
 
-BOOST_AUTO_TEST_CASE(ALaterLifeOfAnIdBeginsAnew)
+BOOST_AUTO_TEST_CASE(LaterInstanceReplacesLeavingOne)
 {
   VirtualClock clock;
   EndpointDirectory directory({}, clock);
@@ -107,13 +107,13 @@
   BOOST_TEST(directory.OnEntry(second));
   BOOST_TEST((directory.Snapshot()->endpoints.at(0).state == EndpointState::Live));
 
-  // News of the earlier life that comes late, also of its leaving, changes nothing
+  // Delayed entries of the earlier instance are ignored, also if they say that it is leaving
   BOOST_TEST(!directory.OnEntry(first));
   BOOST_TEST((directory.Snapshot()->endpoints.at(0).state == EndpointState::Live));
   BOOST_TEST(directory.Snapshot()->endpoints.at(0).born == 2000);
 }
 
-BOOST_AUTO_TEST_CASE(ALaterLifeIsNotMissingAsTheEarlierOneWas)
+BOOST_AUTO_TEST_CASE(LaterInstanceIsNotMissingAfterOutage)
 {
   VirtualClock clock;
   EndpointDirectory directory({}, clock);
@@ -129,7 +129,7 @@
   BOOST_TEST(!directory.Tick());
 }
 
-BOOST_AUTO_TEST_CASE(AnUnreadableEntryGetsNoNewWorkUntilItCanBeRead)
+BOOST_AUTO_TEST_CASE(EndpointIsEjectedWhileItsEntryIsUnreadable)
 {
   VirtualClock clock;
   EndpointDirectory directory({}, clock);
@@ -145,18 +145,18 @@
   BOOST_TEST((directory.Snapshot()->endpoints.at(0).state == EndpointState::Live));
 }
 
-BOOST_AUTO_TEST_CASE(LeavingBindsForGood)
+BOOST_AUTO_TEST_CASE(LeavingStateIsNotRevertedByOlderEntry)
 {
   VirtualClock clock;
   EndpointDirectory directory({}, clock);
   directory.OnEntry(MakeEndpoint("a"));
   BOOST_TEST(directory.OnEntry(MakeEndpoint("a", EndpointState::Leaving)));
-  // An older entry that comes late
+  // An older entry that arrives late
   BOOST_TEST(!directory.OnEntry(MakeEndpoint("a")));
   BOOST_TEST((directory.Snapshot()->endpoints.front().state == EndpointState::Leaving));
 }
 
-BOOST_AUTO_TEST_CASE(EntriesThatLapseAroundAnOutageGetTimeToReturn)
+BOOST_AUTO_TEST_CASE(EntriesMissingAfterOutageAreRemovedAfterGracePeriod)
 {
   VirtualClock clock;
   EndpointDirectory directory({}, clock);
@@ -182,7 +182,7 @@
   BOOST_TEST(directory.Snapshot()->endpoints.front().id == "stays");
 }
 
-BOOST_AUTO_TEST_CASE(ALeavingOneGetsNoTimeToReturn)
+BOOST_AUTO_TEST_CASE(LeavingEndpointMissingAfterOutageIsRemovedImmediately)
 {
   VirtualClock clock;
   EndpointDirectory directory({}, clock);
