--- a/Lagoonward/Configuration/ConfigurationFollowerSettings.h
+++ b/Lagoonward/Configuration/ConfigurationFollowerSettings.h
@@ -8,11 +8,9 @@
 struct ConfigurationFollowerSettings
 {
   Milliseconds pollWait{ 20'000 }; ///< Longest wait of one long poll for the next record.
-  Milliseconds idlePause{
-    50
-  };                       ///< After an empty read, in case the log does not support long polls.
-  int pageLimit = 8;       ///< Most records per read; each may contain a manifest.
-  BackoffSettings backoff; ///< Between reads while the log is unavailable.
+  Milliseconds idlePause{ 50 };    ///< After an empty read, if the log does not support long polls.
+  int pageLimit = 8;               ///< Most records per read; each may contain a manifest.
+  BackoffSettings backoff;         ///< Between reads while the log is unavailable.
   Milliseconds peerInterval{ 1000 }; ///< Least time between two rounds of peer queries.
 
   /// Age at which the newest checkpoint is written again. The log's retention must be at least three times this.
--- a/Lagoonward/Configuration/ConfigurationHistory.h
+++ b/Lagoonward/Configuration/ConfigurationHistory.h
@@ -20,10 +20,10 @@
     SkippedInvalid,      ///< Not a valid record. Every reader skips it.
     CheckpointSeen,      ///< Consistent with the state of this reader, or not comparable to it.
     CheckpointDisagrees, ///< Contradicts the state that this reader computed. Ignored.
-    GapFound,  ///< Records expired before they were read. The configuration in force is uncertain.
-    GapClosed, ///< A checkpoint gave the state that the expired records led to.
-    PeerAdopted, ///< A later state of a peer was adopted.
-    PeerRefused, ///< A peer's state was older or contradictory. Ignored.
+    GapFound,            ///< Records expired unread; the configuration in force is uncertain.
+    GapClosed,           ///< A checkpoint gave the state that the expired records led to.
+    PeerAdopted,         ///< A later state of a peer was adopted.
+    PeerRefused,         ///< A peer's state was older or contradictory. Ignored.
   };
 
   Kind kind = Kind::Accepted;
--- a/Lagoonward/Configuration/ConfigurationPublisher.h
+++ b/Lagoonward/Configuration/ConfigurationPublisher.h
@@ -55,10 +55,9 @@
     explicit StreamState(std::string aMarket);
 
     ConfigurationHistory history;
-    RecordId winner; ///< Publisher of the record in force, if read.
-    std::optional<ConfigurationEvent>
-      verdict;                    ///< The first event that accepts or rejects the own record.
-    Offset ownOffset = kNoOffset; ///< Offset at which the own record was first read.
+    RecordId winner;                           ///< Publisher of the record in force, if read.
+    std::optional<ConfigurationEvent> verdict; ///< First accept or reject of the own record.
+    Offset ownOffset = kNoOffset;              ///< Offset at which the own record was first read.
   };
 
   /// Reads to the end of the stream. Returns the error of the first read that fails.
--- a/Lagoonward/Configuration/Manifest.h
+++ b/Lagoonward/Configuration/Manifest.h
@@ -30,8 +30,7 @@
   std::string name;
   std::string version;
   std::vector<ManifestAdapter> adapters;
-  int minEndpoints =
-    1; ///< Endpoints that must still serve it after the loss of any one failure domain.
+  int minEndpoints = 1; ///< Endpoints that must remain after the loss of any one failure domain.
 };
 
 /// A plain service that clients of the market can call.
@@ -58,10 +57,8 @@
   std::string keySha256;      ///< Lower-case hexadecimal SHA-256 of the client's key.
   double weight = 1;          ///< Its relative share when capacity is short.
   double tokensPerSecond = 0; ///< Rate limit over the whole deployment; zero means no limit.
-  double burstTokens =
-    0; ///< Size of its token bucket; zero derives it from AdmissionSettings::burstSeconds.
-  int concurrent =
-    0; ///< Limit of concurrent requests over the whole deployment; zero means no limit.
+  double burstTokens = 0;     ///< Bucket size; zero uses AdmissionSettings::burstSeconds.
+  int concurrent = 0; ///< Concurrent requests over the whole deployment; zero means no limit.
 };
 
 /// Weights of competing goals in decisions for the market. They sum to one.
--- a/Lagoonward/Configuration/MarketFollower.h
+++ b/Lagoonward/Configuration/MarketFollower.h
@@ -18,7 +18,7 @@
   /// Ids of the live daemons that follow the same markets, this one included. May be empty.
   std::function<std::vector<std::string>()> liveDaemons;
 
-  /// Called for each change, in order. May call the follower's const functions only.
+  /// Called for each change, in order. Must not call non-const functions of the follower.
   std::function<void(const ConfigurationPtr& aConfiguration)> onChange;
 
   std::string daemonId;    ///< This daemon's id, as in liveDaemons.
@@ -31,8 +31,7 @@
   std::string market;
   Offset offset = kNoOffset; ///< Offset in force.
   Offset nextOffset = 0;     ///< First record not yet read.
-  bool certain =
-    true; ///< False while records that expired unread leave the configuration in force uncertain.
+  bool certain = true;       ///< False while a gap leaves the configuration in force uncertain.
   bool logReachable = false; ///< Whether the last read succeeded.
   Offset newestCheckpoint = kNoOffset;
 };
@@ -83,9 +82,8 @@
   Backoff backoff;
   std::uint64_t nextSequence = 0;         ///< Of the next checkpoint that is written.
   std::optional<TimePoint> lastPeerQuery; ///< Time of the last peer queries.
-  TimePoint
-    checkpointSeen; ///< When the newest checkpoint was read, or its write was last attempted.
-  Milliseconds checkpointJitter{ 0 }; ///< Chosen at random for each checkpoint.
+  TimePoint checkpointSeen;               ///< Time of the last checkpoint read or attempted.
+  Milliseconds checkpointJitter{ 0 };     ///< Chosen at random for each checkpoint.
   std::mt19937_64 random;
 
   std::mutex foldMutex; ///< Guards `history` and serializes the calls of onChange.
--- a/Lagoonward/Configuration/MarketIndex.h
+++ b/Lagoonward/Configuration/MarketIndex.h
@@ -31,12 +31,10 @@
 /// Settings of MarketIndexReader.
 struct MarketIndexSettings
 {
-  Milliseconds pollWait{ 10'000 }; ///< Longest wait of one long poll.
-  Milliseconds retryPause{ 1000 }; ///< After a failed read.
-  Milliseconds refreshAfter{
-    120'000
-  };                   ///< A name that was not read for this long is appended again.
-  int pageLimit = 256; ///< Most records per read.
+  Milliseconds pollWait{ 10'000 };      ///< Longest wait of one long poll.
+  Milliseconds retryPause{ 1000 };      ///< After a failed read.
+  Milliseconds refreshAfter{ 120'000 }; ///< Names not read for this long are appended again.
+  int pageLimit = 256;                  ///< Most records per read.
 };
 
 /// Callbacks to the rest of the daemon. Must be thread-safe.
--- a/Lagoonward/Fleet/Endpoint.h
+++ b/Lagoonward/Fleet/Endpoint.h
@@ -20,8 +20,8 @@
 enum class EndpointState
 {
   Live,    ///< Accepts new requests.
-  Leaving, ///< Announced to terminate; its requests finish or are moved, new ones are not sent to it.
-  Ejected, ///< Temporarily gets no new requests, because a new connection failed or its entry cannot be read.
+  Leaving, ///< Will terminate; its requests finish or are moved, it gets no new ones.
+  Ejected, ///< Gets no new requests for now: a connection failed or its entry is unreadable.
 };
 
 /// An adapter that an engine has loaded.
@@ -68,10 +68,9 @@
   EndpointState state = EndpointState::Live;
   bool reclaimable = true;
   bool movesStreams = false; ///< Can copy the KV cache of a run to another endpoint on request.
-  double fetchSecondsPerToken =
-    0; ///< Time to fetch a cached prompt token from another endpoint; zero if it cannot.
-  int sequences = 0;       ///< Requests that it can run concurrently; zero if not reported.
-  double pricePerHour = 0; ///< Zero if no price is known.
+  double fetchSecondsPerToken = 0; ///< Of a prompt token cached elsewhere; zero if it cannot fetch.
+  int sequences = 0;               ///< Requests that it can run concurrently; zero if not reported.
+  double pricePerHour = 0;         ///< Zero if no price is known.
   std::optional<TimePoint> goneAfter; ///< Time until which a leaving host is guaranteed to run.
   std::optional<EndpointLoad> load;   ///< Empty until the first report.
 };
--- a/Lagoonward/Reclaim/MoveTypes.h
+++ b/Lagoonward/Reclaim/MoveTypes.h
@@ -14,9 +14,9 @@
 enum class MoveKind
 {
   FinishInPlace, ///< Not moved; expected to end before the endpoint terminates.
-  ExportImport, ///< Its KV cache is copied to the target while it keeps generating; then it resumes there.
-  Reprefill, ///< Runs until `startAt`, then resumes at the target, which prefills the uncached tokens.
-  Unplaced, ///< No target can accept it now. Not moved; a later plan tries again.
+  ExportImport,  ///< Its KV cache is copied while it keeps generating; then it resumes there.
+  Reprefill,     ///< Runs until `startAt`, then resumes at the target, which prefills the rest.
+  Unplaced,      ///< No target can accept it now. Not moved; a later plan tries again.
 };
 
 /// "finish_in_place", "export_import", "reprefill" or "unplaced".
@@ -44,8 +44,7 @@
 {
   std::string id;
   std::string endpoint; ///< Id of the endpoint that runs it.
-  TimePoint
-    goneAfter; ///< Time until which the endpoint is guaranteed to run; past if it has terminated.
+  TimePoint goneAfter;  ///< End of the endpoint's guaranteed time; past if it has terminated.
   int promptTokens = 0;
   int generatedTokens = 0;         ///< Tokens that the daemon has received.
   double expectedRemaining = 0;    ///< Estimated number of tokens left to generate.
@@ -77,11 +76,10 @@
 {
   std::string stream;
   MoveKind kind = MoveKind::Unplaced;
-  std::string target; ///< Empty unless the stream moves.
-  TimePoint
-    startAt; ///< When to start the export, or when to stop at the source and resume at the target.
+  std::string target;            ///< Empty unless the stream moves.
+  TimePoint startAt;             ///< When to export, or to stop here and resume at the target.
   TimePoint readyAt;             ///< When the target is expected to resume the stream.
-  double recomputedTokens = 0;   ///< Expected number of tokens that the target prefills.
+  double recomputedTokens = 0;   ///< Expected tokens that the target prefills again.
   Milliseconds expectedGap{ 0 }; ///< Expected pause in the output to the caller.
   bool missesDeadline = false;   ///< The chosen option is expected to miss the deadline.
 };
--- a/UnitTests/Fleet/EndpointDirectoryTests.cpp
+++ b/UnitTests/Fleet/EndpointDirectoryTests.cpp
@@ -53,14 +53,14 @@
   directory.OnSource(true);
 
   // Observed only before this host's outage and after it: the source may have been unavailable to all hosts
-  directory.OnSourceSeen({ testStart, startTime + Seconds(10) });
+  directory.OnSourceSeen({ testStart, testStart + Seconds(10) });
   BOOST_TEST(!directory.OnRemoved("a"));
-  directory.OnSourceSeen({ testStart + Seconds(14), startTime + Seconds(15) });
+  directory.OnSourceSeen({ testStart + Seconds(14), testStart + Seconds(15) });
   BOOST_TEST(!directory.OnRemoved("a"));
   BOOST_TEST(!directory.Tick());
 
   // Observed during the whole outage: the delayed removal takes effect as well
-  directory.OnSourceSeen({ testStart, startTime + Seconds(15) });
+  directory.OnSourceSeen({ testStart, testStart + Seconds(15) });
   BOOST_TEST(directory.OnRemoved("b"));
   BOOST_TEST(directory.Tick());
   BOOST_TEST((directory.Snapshot()->endpoints.at(0).state == EndpointState::Leaving));
