--- a/Lagoonward/Reclaim/MovePlanner.cpp
+++ b/Lagoonward/Reclaim/MovePlanner.cpp
@@ -278,8 +278,8 @@
   return best.plan;
 }
 
-/// Order in which streams are planned: streams with an earlier plan first, then by the end of their endpoint, then
-/// by tokens to recompute, most first. Ties are broken by id.
+/// Order in which streams are planned: streams with a move in progress first, then by the end of their endpoint,
+/// then by prompt and generated tokens, most first. Ties are broken by id.
 bool
 IsPlannedBefore(const StreamView& aLeft, const StreamView& aRight)
 {
