--- a/Lagoonward/Membership/AggregationPlan.cpp
+++ b/Lagoonward/Membership/AggregationPlan.cpp
@@ -10,37 +10,37 @@
 
 namespace {
 
-/// One daemon that takes part.
-struct Standing
+/// A daemon included in the plan.
+struct Participant
 {
-  std::uint64_t weight = 0; ///< By rendezvous hashing of the region: one that goes moves no other.
+  std::uint64_t weight = 0; ///< Rendezvous weight for the region: a removed daemon does not change the order of the others.
   std::uint64_t group = 0;
   bool mayAggregate = true;
   PeerAddress address;
 };
 
 bool
-Holds(const std::vector<PeerAddress>& aDaemons, PeerKey aKey)
+ContainsKey(const std::vector<PeerAddress>& aDaemons, PeerKey aKey)
 {
   return std::any_of(aDaemons.begin(), aDaemons.end(),
                      [&](const PeerAddress& aEach) { return aEach.key == aKey; });
 }
 
-/// The daemons that take part, this one first.
-std::vector<Standing>
-CollectStanding(const PeerInfo& aSelf, bool aStands, const PeerView& aView,
+/// The daemons included in the plan, this one first.
+std::vector<Participant>
+CollectParticipants(const PeerInfo& aSelf, bool aEligible, const PeerView& aView,
                 std::vector<std::uint64_t>& aDomains)
 {
   const std::uint64_t region = HashBytes(aSelf.region);
-  std::vector<Standing> all;
+  std::vector<Participant> all;
   const auto add = [&](const PeerInfo& aInfo, PeerKey aKey, bool aMayAggregate) {
     all.push_back(
       { RendezvousWeight(region, aKey), 0, aMayAggregate, { aKey, aInfo.address, aInfo.port } });
     aDomains.push_back(HashBytes(aInfo.failureDomain));
   };
-  add(aSelf, aSelf.Key(), aStands);
+  add(aSelf, aSelf.Key(), aEligible);
   for (const Peer& peer : aView.peers) {
-    // Who is known by address only, as a seed, has no group yet
+    // A peer known only by its address, such as a seed, has no group yet
     const bool isKnown = !peer.info.failureDomain.empty();
     if (isKnown && peer.info.region == aSelf.region && peer.state == PeerState::Alive) {
       add(peer.info, peer.key, true);
@@ -49,21 +49,21 @@
   return all;
 }
 
-/// Groups by failure domain; a large one is split by the hash of its daemons' ids.
+/// Groups daemons by failure domain. Large failure domains are split by the hash of the daemons' ids.
 void
-AssignGroups(std::vector<Standing>& aDaemons, const std::vector<std::uint64_t>& aDomains,
-             std::size_t aLargest)
+AssignGroups(std::vector<Participant>& aDaemons, const std::vector<std::uint64_t>& aDomains,
+             std::size_t aMaximumGroupSize)
 {
   std::map<std::uint64_t, std::size_t> sizes;
   for (const std::uint64_t domain : aDomains) {
     ++sizes[domain];
   }
   for (std::size_t index = 0; index < aDaemons.size(); ++index) {
-    // Powers of two, so that a domain about to be split again keeps half of its places
-    const std::size_t needed = (sizes[aDomains[index]] + aLargest - 1) / aLargest;
-    const std::uint64_t slots = std::bit_ceil(needed);
-    const std::uint64_t slot = aDaemons[index].address.key % slots;
-    aDaemons[index].group = CombineHashes(aDomains[index], slots * aLargest + slot);
+    // Powers of two, so that half of the daemons keep their partition when a domain is split again
+    const std::size_t needed = (sizes[aDomains[index]] + aMaximumGroupSize - 1) / aMaximumGroupSize;
+    const std::uint64_t partitions = std::bit_ceil(needed);
+    const std::uint64_t partition = aDaemons[index].address.key % partitions;
+    aDaemons[index].group = CombineHashes(aDomains[index], partitions * aMaximumGroupSize + partition);
   }
 }
 
@@ -78,7 +78,7 @@
 bool
 AggregationPlan::IsAggregator(PeerKey aDaemon) const
 {
-  return Holds(this->own, aDaemon);
+  return ContainsKey(this->own, aDaemon);
 }
 
 int
@@ -90,33 +90,33 @@
 }
 
 AggregationPlan
-MakeAggregationPlan(const PeerInfo& aSelf, bool aStands, const PeerView& aView,
+MakeAggregationPlan(const PeerInfo& aSelf, bool aEligible, const PeerView& aView,
                     const AggregationSettings& aSettings)
 {
   std::vector<std::uint64_t> domains;
-  std::vector<Standing> daemons = CollectStanding(aSelf, aStands, aView, domains);
-  AssignGroups(daemons, domains, aSettings.largestGroup);
+  std::vector<Participant> daemons = CollectParticipants(aSelf, aEligible, aView, domains);
+  AssignGroups(daemons, domains, aSettings.maximumGroupSize);
   AggregationPlan plan;
   plan.group = daemons.front().group;
   plan.daemons = static_cast<int>(daemons.size());
-  std::sort(daemons.begin(), daemons.end(), [](const Standing& aLeft, const Standing& aRight) {
+  std::sort(daemons.begin(), daemons.end(), [](const Participant& aLeft, const Participant& aRight) {
     return aLeft.weight > aRight.weight;
   });
 
-  // The first of each group by rank
-  const bool isOnly = std::all_of(daemons.begin(), daemons.end(),
-                                  [&](const Standing& aEach) { return aEach.group == plan.group; });
-  const std::size_t places = isOnly ? aSettings.aggregatorsOfOnlyGroup : aSettings.aggregators;
-  std::map<std::uint64_t, std::size_t> chosen;
-  for (const Standing& each : daemons) {
+  // The highest-ranked daemons of each group are its aggregators
+  const bool isSingleGroup = std::all_of(daemons.begin(), daemons.end(),
+                                  [&](const Participant& aEach) { return aEach.group == plan.group; });
+  const std::size_t aggregatorsPerGroup = isSingleGroup ? aSettings.aggregatorsOfSingleGroup : aSettings.aggregators;
+  std::map<std::uint64_t, std::size_t> selectedPerGroup;
+  for (const Participant& each : daemons) {
     const bool isOwn = each.group == plan.group;
     if (isOwn && each.address.key != aSelf.Key()) {
       plan.members.push_back(each.address);
     }
-    if (!each.mayAggregate || chosen[each.group] >= places) {
+    if (!each.mayAggregate || selectedPerGroup[each.group] >= aggregatorsPerGroup) {
       continue;
     }
-    ++chosen[each.group];
+    ++selectedPerGroup[each.group];
     plan.candidates.push_back(each.address);
     (isOwn ? plan.own : plan.others).push_back(each.address);
   }
--- a/Lagoonward/Membership/AggregationPlan.h
+++ b/Lagoonward/Membership/AggregationPlan.h
@@ -7,47 +7,48 @@
 
 namespace lagoonward {
 
-/// How daemons are put into groups.
+/// Tunables of the assignment of daemons to aggregation groups.
 struct AggregationSettings
 {
-  /// A failure domain with more daemons is split, so that an aggregator's work has a bound: one host with a tenth of a
-  /// core answers some 160 reports a second.
-  std::size_t largestGroup = 64;
+  /// A failure domain with more daemons is split. This bounds the work of an aggregator: a host with a tenth of a core
+  /// answers about 160 reports per second.
+  std::size_t maximumGroupSize = 64;
 
-  /// Aggregators of a group: one that sums, and one that knows as much and follows it.
+  /// Aggregators per group: a primary that computes the sums, and a standby that receives the same reports.
   std::size_t aggregators = 2;
 
-  /// The same where there is one group only, as its aggregators alone stand for election.
-  std::size_t aggregatorsOfOnlyGroup = 3;
+  /// Aggregators of the group if it is the only one, because only aggregators are candidates for election.
+  std::size_t aggregatorsOfSingleGroup = 3;
 };
 
-/// Who sums for whom. Daemons of one failure domain form a group; the first of it by rank are its aggregators, to whom
-/// its members tell their load and from whom they hear the sum over the deployment. Aggregators tell each other
-/// the sums of their groups. Every daemon works the plan out from its own view of the others, so views that
-/// differ for a moment give plans that differ: receivers must not count on being the right one.
+/// Assignment of daemons to aggregation groups, and of aggregators to groups. The daemons of one failure domain form a
+/// group; its highest-ranked daemons are its aggregators. Group members report their load to them and receive the sum
+/// over the deployment from them. Aggregators exchange the sums of their groups. Every daemon computes the plan from its
+/// own view of its peers, so plans differ while views differ: a receiver must not assume that the sender addressed the
+/// right aggregator.
 struct AggregationPlan
 {
-  std::uint64_t group = 0;         ///< Names this daemon's group.
-  std::vector<PeerAddress> own;    ///< Aggregators of this daemon's group, first the one that sums.
+  std::uint64_t group = 0;         ///< Identifier of this daemon's group.
+  std::vector<PeerAddress> own;    ///< Aggregators of this daemon's group, the primary first.
   std::vector<PeerAddress> others; ///< Aggregators of all other groups.
-  std::vector<PeerAddress> candidates; ///< All aggregators by rank.
-  std::vector<PeerAddress> members;    ///< This daemon's group, without it.
-  int daemons = 1;                     ///< That the plan knows of, this one included.
+  std::vector<PeerAddress> candidates; ///< All aggregators, highest rank first.
+  std::vector<PeerAddress> members;    ///< Daemons of this daemon's group, excluding itself.
+  int daemons = 1;                     ///< Number of daemons in the plan, including this one.
 
-  /// Whether that daemon sums for this daemon's group.
+  /// Whether the daemon is the primary aggregator of this daemon's group.
   [[nodiscard]] bool IsFirst(PeerKey aDaemon) const;
 
-  /// Whether that daemon is one of the aggregators of this daemon's group.
+  /// Whether the daemon is one of the aggregators of this daemon's group.
   [[nodiscard]] bool IsAggregator(PeerKey aDaemon) const;
 
-  /// Place of a daemon among all aggregators, zero the first; the number of aggregators if it is none.
+  /// Zero-based rank of a daemon among all aggregators; the number of aggregators if it is not one.
   [[nodiscard]] int RankOf(PeerKey aDaemon) const;
 };
 
-/// Works the plan out. Takes time in proportion to the daemons: to be called once for each view.
-/// @param aStands  whether this daemon may be an aggregator; false while it leaves
+/// Computes the plan. Sorts all daemons of the region; intended to be called once per view.
+/// @param aEligible  whether this daemon may be an aggregator; false while it is leaving
 [[nodiscard]] AggregationPlan
-MakeAggregationPlan(const PeerInfo& aSelf, bool aStands, const PeerView& aView,
+MakeAggregationPlan(const PeerInfo& aSelf, bool aEligible, const PeerView& aView,
                     const AggregationSettings& aSettings);
 
 } // namespace lagoonward
--- a/Lagoonward/Membership/ChangeQueue.cpp
+++ b/Lagoonward/Membership/ChangeQueue.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-/// Longest sum of a daemon's strings that a datagram has room for.
+/// Maximum total length of a daemon's strings, so that they fit into a datagram.
 constexpr std::size_t kMaximumInfoBytes = 240;
 constexpr std::size_t kChangeBytes = 18;
 constexpr std::size_t kInfoOverhead = 6;
@@ -25,13 +25,13 @@
 }
 
 void
-ChangeQueue::Take(std::size_t aBytes, std::size_t aSends, const Reader& aReader,
+ChangeQueue::Take(std::size_t aBytes, std::size_t aMaximumSends, const ChangeLookup& aLookup,
                   std::vector<PeerChange>& aTarget)
 {
   std::size_t used = 0;
-  for (std::size_t left = this->items.size(); left > 0; --left) {
+  for (std::size_t remaining = this->items.size(); remaining > 0; --remaining) {
     Item item = this->items.front();
-    auto change = aReader(item.key);
+    auto change = aLookup(item.key);
     if (!change) {
       this->items.pop_front();
       continue;
@@ -43,9 +43,9 @@
     used += bytes;
     aTarget.push_back(std::move(*change));
 
-    // To the back, so that each change has its turn
+    // Moved to the back of the queue, so that all changes are sendCount equally often
     this->items.pop_front();
-    if (++item.sent < aSends) {
+    if (++item.sendCount < aMaximumSends) {
       this->items.push_back(item);
     }
   }
--- a/Lagoonward/Membership/ChangeQueue.h
+++ b/Lagoonward/Membership/ChangeQueue.h
@@ -9,35 +9,36 @@
 
 namespace lagoonward {
 
-/// Membership changes that still have to be passed on. Each goes into a bounded number of datagrams,
-/// the ones sent least first, and into each datagram only what fits. Pure.
+/// Queue of membership changes to disseminate. Each change is sendCount in a bounded number of datagrams; changes sendCount least
+/// often come first, and a datagram gets only the changes that fit. Performs no I/O. Not thread-safe.
 class ChangeQueue
 {
 public:
-  /// Looks up a change as it reads now; nothing when the daemon has been forgotten.
-  using Reader = std::function<std::optional<PeerChange>(PeerKey aKey)>;
+  /// Returns the current change record of a daemon, or nothing if the daemon is no longer in the peer table.
+  using ChangeLookup = std::function<std::optional<PeerChange>(PeerKey aKey)>;
 
-  /// Queues a daemon's change; an older one of the same daemon is replaced.
+  /// Queues a daemon's change, replacing an older one of the same daemon.
   void Add(PeerKey aKey);
 
-  /// Changes for one datagram.
-  /// @param aBytes   room for them
-  /// @param aSends   datagrams that each change goes into
-  /// @param aTarget  gets the changes, behind what it has already
-  void Take(std::size_t aBytes, std::size_t aSends, const Reader& aReader,
+  /// Selects the changes for one datagram.
+  /// @param aBytes         bytes available for changes
+  /// @param aMaximumSends  number of datagrams in which each change is sendCount
+  /// @param aLookup        returns the current change record of a daemon
+  /// @param aTarget        receives the changes, appended to its content
+  void Take(std::size_t aBytes, std::size_t aMaximumSends, const ChangeLookup& aLookup,
             std::vector<PeerChange>& aTarget);
 
-  /// Bytes of a change on the wire.
+  /// Encoded size of a change, in bytes.
   [[nodiscard]] static std::size_t WireBytes(const PeerChange& aChange);
 
-  /// Whether a datagram has room for this daemon's strings.
+  /// Whether the strings of this daemon fit into a datagram.
   [[nodiscard]] static bool Fits(const PeerInfo& aInfo);
 
 private:
   struct Item
   {
     PeerKey key = 0;
-    std::size_t sent = 0;
+    std::size_t sendCount = 0;
   };
 
   std::deque<Item> items;
--- a/Lagoonward/Membership/DelayMeter.cpp
+++ b/Lagoonward/Membership/DelayMeter.cpp
@@ -5,7 +5,7 @@
 
 namespace lagoonward {
 
-DelayMeter::DelayMeter(const DelayMeterSettings& aSettings)
+DelayMeter::DelayMeter(const DelayEstimatorSettings& aSettings)
   : settings(aSettings)
 {
 }
@@ -15,29 +15,29 @@
 {
   const auto now = std::chrono::floor<Milliseconds>(aNow.time_since_epoch());
   const Milliseconds difference = now - aSentAt;
-  if (!this->hasHeard) {
+  if (!this->hasSample) {
     this->Restart(difference, aNow);
   }
-  if (aNow - this->windowBegan >= this->settings.window) {
-    this->earlier = std::exchange(this->least, difference);
-    this->windowBegan = aNow;
+  if (aNow - this->windowStart >= this->settings.window) {
+    this->previousMinimum = std::exchange(this->windowMinimum, difference);
+    this->windowStart = aNow;
   }
-  this->least = std::min(this->least, difference);
-  const Milliseconds quickest = std::min(this->least, this->earlier.value_or(this->least));
-  if (difference - quickest > this->settings.implausible) {
+  this->windowMinimum = std::min(this->windowMinimum, difference);
+  const Milliseconds baseDelay = std::min(this->windowMinimum, this->previousMinimum.value_or(this->windowMinimum));
+  if (difference - baseDelay > this->settings.implausibleDelay) {
     this->Restart(difference, aNow);
     return Milliseconds(0);
   }
-  return difference - quickest;
+  return difference - baseDelay;
 }
 
 void
 DelayMeter::Restart(Milliseconds aDifference, TimePoint aNow)
 {
-  this->hasHeard = true;
-  this->least = aDifference;
-  this->earlier.reset();
-  this->windowBegan = aNow;
+  this->hasSample = true;
+  this->windowMinimum = aDifference;
+  this->previousMinimum.reset();
+  this->windowStart = aNow;
 }
 
 } // namespace lagoonward
--- a/Lagoonward/Membership/DelayMeter.h
+++ b/Lagoonward/Membership/DelayMeter.h
@@ -6,40 +6,40 @@
 
 namespace lagoonward {
 
-/// Tunables of a delay meter.
-struct DelayMeterSettings
+/// Tunables of a DelayMeter.
+struct DelayEstimatorSettings
 {
-  /// A quickest message is gone by for at least this long, and at most twice as long. Clocks of two hosts drift apart by
-  /// some milliseconds a minute.
+  /// The minimum delay is taken over at windowMinimum this long, and at most twice as long. The minimum must expire because the
+  /// clocks of two hosts drift apart by some milliseconds per minute.
   Milliseconds window{ 30'000 };
 
-  /// No message is on its way for longer: its sender's clock has begun anew.
-  Milliseconds implausible{ 10'000 };
+  /// A longer delay is implausible: it means that the sender's clock has restarted, and the estimate starts over.
+  Milliseconds implausibleDelay{ 10'000 };
 };
 
-/// Tells how much longer messages of one sender took than its quickest of late, though the two hosts' clocks have
-/// nothing in common: of the difference between sending and arrival, which is the delay and an unknown offset, the
-/// least one is taken away (the "base delay" of RFC 6817). What all messages take is not seen; between hosts of
-/// one deployment that is a few milliseconds. Not thread-safe.
+/// Estimates how much longer a message of one sender took than the fastest recent message, without synchronized clocks.
+/// The difference between send time and arrival time is the delay plus an unknown clock offset; subtracting the minimum
+/// difference (the "base delay" of RFC 6817) removes the offset. The delay common to all messages is removed as well;
+/// between hosts of one deployment it is a few milliseconds. Not thread-safe.
 class DelayMeter
 {
 public:
-  explicit DelayMeter(const DelayMeterSettings& aSettings = {});
+  explicit DelayMeter(const DelayEstimatorSettings& aSettings = {});
 
-  /// A message has come.
-  /// @param aSentAt  its sender's monotonic clock when it was sent, from any beginning
+  /// Handles an arrived message.
+  /// @param aSentAt  sender's monotonic clock at the time of sending, from any epoch
   /// @param aNow     this host's monotonic clock
-  /// @return how much longer than the quickest it took; zero for the first
+  /// @return delay beyond that of the fastest recent message; zero for the first message
   [[nodiscard]] Milliseconds OnMessage(Milliseconds aSentAt, TimePoint aNow);
 
 private:
   void Restart(Milliseconds aDifference, TimePoint aNow);
 
-  DelayMeterSettings settings;
-  TimePoint windowBegan;
-  Milliseconds least{ 0 };             ///< Difference of this window's quickest message.
-  std::optional<Milliseconds> earlier; ///< The same of the window before.
-  bool hasHeard = false;
+  DelayEstimatorSettings settings;
+  TimePoint windowStart;
+  Milliseconds windowMinimum{ 0 };             ///< Smallest difference in the current window.
+  std::optional<Milliseconds> previousMinimum; ///< Smallest difference in the previous window.
+  bool hasSample = false;
 };
 
 } // namespace lagoonward
--- a/Lagoonward/Membership/EndpointFact.cpp
+++ b/Lagoonward/Membership/EndpointFact.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-constexpr double kFullShare = 255;
+constexpr double kFullScale = 255;
 
-/// Differences up to this many requests are never material.
-constexpr double kSmallCount = 2;
+/// Differences of up to this many requests are never significant.
+constexpr double kCountTolerance = 2;
 
 std::uint16_t
 Saturate(std::int64_t aCount)
@@ -21,23 +21,23 @@
 }
 
 bool
-CountsDiffer(double aLeft, double aRight, double aShare)
+CountsDiffer(double aLeft, double aRight, double aFraction)
 {
-  return std::abs(aLeft - aRight) > std::max(kSmallCount, aShare * std::max(aLeft, aRight));
+  return std::abs(aLeft - aRight) > std::max(kCountTolerance, aFraction * std::max(aLeft, aRight));
 }
 
 } // namespace
 
 bool
-IsNewerReading(std::uint32_t aReading, std::uint32_t aKnown)
+IsNewerSample(std::uint32_t aSample, std::uint32_t aKnown)
 {
-  return static_cast<std::int32_t>(aReading - aKnown) > 0;
+  return static_cast<std::int32_t>(aSample - aKnown) > 0;
 }
 
 std::uint16_t
 ToAgeUnits(std::chrono::nanoseconds aAge)
 {
-  return Saturate(std::chrono::duration_cast<Milliseconds>(aAge) / kAgeUnit);
+  return Saturate(std::chrono::duration_cast<Milliseconds>(aAge) / kLoadAgeUnit);
 }
 
 LoadFact
@@ -53,7 +53,7 @@
   if (aLoad.kvBlocksTotal > 0) {
     const double used =
       static_cast<double>(aLoad.kvBlocksUsed) / static_cast<double>(aLoad.kvBlocksTotal);
-    fact.kvUsed = static_cast<std::uint8_t>(std::lround(std::clamp(used, 0.0, 1.0) * kFullShare));
+    fact.kvUsed = static_cast<std::uint8_t>(std::lround(std::clamp(used, 0.0, 1.0) * kFullScale));
   }
   fact.profile = aProfile;
   return fact;
@@ -67,7 +67,7 @@
   load.running = aFact.running;
   load.kvBlocksTotal = aProfile.kvBlocksTotal;
   load.kvBlocksUsed =
-    std::llround(aFact.kvUsed / kFullShare * static_cast<double>(aProfile.kvBlocksTotal));
+    std::llround(aFact.kvUsed / kFullScale * static_cast<double>(aProfile.kvBlocksTotal));
   load.models = aProfile.models;
   load.role = aProfile.role;
   load.asOf = aAsOf;
@@ -75,24 +75,24 @@
 }
 
 bool
-DiffersMaterially(const LoadFact& aLeft, const LoadFact& aRight, double aShare)
+DiffersSignificantly(const LoadFact& aLeft, const LoadFact& aRight, double aFraction)
 {
-  return aLeft.profile != aRight.profile || CountsDiffer(aLeft.waiting, aRight.waiting, aShare) ||
-         CountsDiffer(aLeft.running, aRight.running, aShare) ||
-         std::abs(aLeft.kvUsed - aRight.kvUsed) > aShare * kFullShare;
+  return aLeft.profile != aRight.profile || CountsDiffer(aLeft.waiting, aRight.waiting, aFraction) ||
+         CountsDiffer(aLeft.running, aRight.running, aFraction) ||
+         std::abs(aLeft.kvUsed - aRight.kvUsed) > aFraction * kFullScale;
 }
 
 bool
-Overrules(const StateFact& aNews, const EndpointFact& aKnown)
+Supersedes(const StateFact& aUpdate, const EndpointFact& aKnown)
 {
   if (aKnown.state == EndpointState::Leaving) {
-    return aNews.state == EndpointState::Leaving && aNews.graceLeft > 0 && !aKnown.goneAfter;
+    return aUpdate.state == EndpointState::Leaving && aUpdate.graceLeft > 0 && !aKnown.goneAfter;
   }
-  return aNews.state == EndpointState::Leaving || aNews.version > aKnown.stateVersion;
+  return aUpdate.state == EndpointState::Leaving || aUpdate.version > aKnown.stateVersion;
 }
 
 bool
-IsPlain(const EndpointFact& aFact)
+IsInitialState(const EndpointFact& aFact)
 {
   return aFact.state == EndpointState::Live && aFact.stateVersion == 0;
 }
@@ -100,7 +100,7 @@
 std::uint64_t
 StateHash(const EndpointFact& aFact)
 {
-  // Leaving is final, whatever the version under which each daemon learned it
+  // Leaving is final; daemons may have learned it under different versions, so the version is left out
   const std::uint64_t version =
     aFact.state == EndpointState::Leaving ? 0 : std::uint64_t{ aFact.stateVersion };
   return CombineHashes(aFact.key, (version << 8U) | static_cast<std::uint64_t>(aFact.state));
--- a/Lagoonward/Membership/EndpointFact.h
+++ b/Lagoonward/Membership/EndpointFact.h
@@ -7,59 +7,58 @@
 
 namespace lagoonward {
 
-/// What this daemon knows of one endpoint of its region.
+/// Local record of one endpoint of the region: its host entry, state and latest load.
 struct EndpointFact
 {
   HostEntry host;
   EndpointKey key = 0;
   EndpointState state = EndpointState::Live;
   std::uint32_t stateVersion = 0;
-  std::optional<TimePoint> goneAfter; ///< Last moment at which a leaving endpoint is promised.
-  std::optional<LoadFact> load;       ///< `age` as of arrival; use `observedAt`.
-  TimePoint observedAt;               ///< When the load was read, on this daemon's clock.
-  std::optional<LoadFact> spread;     ///< The newest reading that was spread, or is to be.
-  TimePoint spreadObservedAt;         ///< When that one was read, on this daemon's clock.
-  TimePoint spreadAt;                 ///< When it was queued here.
-  bool loadQueued = false;            ///< Waits to be passed on.
-  bool stateQueued = false;           ///< Waits to be passed on.
+  std::optional<TimePoint> goneAfter; ///< End of the grace period of a leaving endpoint.
+  std::optional<LoadFact> load;       ///< Latest load. Its `age` dates from arrival; use `observedAt`.
+  TimePoint observedAt;               ///< When the load was sampled, on this daemon's clock.
+  std::optional<LoadFact> published;     ///< The newest load that was published, or is queued for it.
+  TimePoint publishedObservedAt;         ///< When that load was sampled, on this daemon's clock.
+  TimePoint publishQueuedAt;                 ///< When that load was queued for publication.
+  bool loadQueued = false;            ///< The load is queued for publication.
+  bool stateQueued = false;           ///< The state is queued for publication.
 };
 
 /// Unit of LoadFact::age.
-inline constexpr Milliseconds kAgeUnit{ 10 };
+inline constexpr Milliseconds kLoadAgeUnit{ 10 };
 
-/// Whether a reading is newer on the endpoint's own clock, whose low bits wrap.
+/// Whether a load sample is newer by the endpoint's own clock. Compares 32-bit timestamps, which wrap around.
 [[nodiscard]] bool
-IsNewerReading(std::uint32_t aReading, std::uint32_t aKnown);
+IsNewerSample(std::uint32_t aSample, std::uint32_t aKnown);
 
-/// An age in the unit of LoadFact, saturating.
+/// Converts an age to the unit of LoadFact::age, saturating.
 [[nodiscard]] std::uint16_t
 ToAgeUnits(std::chrono::nanoseconds aAge);
 
-/// The compact form of a reading.
-/// @param aAge      time since the reading
+/// Converts a load sample to its compact wire form.
+/// @param aAge      time since the sample was taken
 /// @param aProfile  hash of the endpoint's profile
 [[nodiscard]] LoadFact
 ToLoadFact(EndpointKey aKey, const EndpointLoad& aLoad, std::chrono::nanoseconds aAge,
            std::uint32_t aProfile);
 
-/// The form that routing uses.
+/// Converts a load sample from its compact wire form to the form used by routing.
 [[nodiscard]] EndpointLoad
 ToEndpointLoad(const LoadFact& aFact, const EndpointProfile& aProfile, WallTime aAsOf);
 
-/// Whether two readings differ by more than a share, or in their profile.
+/// Whether two load samples differ by more than the given fraction, or in their profile.
 [[nodiscard]] bool
-DiffersMaterially(const LoadFact& aLeft, const LoadFact& aRight, double aShare);
+DiffersSignificantly(const LoadFact& aLeft, const LoadFact& aRight, double aFraction);
 
-/// Whether news replaces the state that is known. `Leaving` is final; all it can still gain is the
-/// moment at which the endpoint goes.
+/// Whether an update replaces the known state. `Leaving` is final; only the end of its grace period can still be added.
 [[nodiscard]] bool
-Overrules(const StateFact& aNews, const EndpointFact& aKnown);
+Supersedes(const StateFact& aUpdate, const EndpointFact& aKnown);
 
-/// Whether nothing was ever reported: live since it was listed.
+/// Whether the endpoint has its initial state: live, with no state update since it was listed.
 [[nodiscard]] bool
-IsPlain(const EndpointFact& aFact);
+IsInitialState(const EndpointFact& aFact);
 
-/// Hash of a state, for digests. Equal on daemons that know the same.
+/// Hash of a state, for digests. Equal on daemons that have the same state.
 [[nodiscard]] std::uint64_t
 StateHash(const EndpointFact& aFact);
 
--- a/Lagoonward/Membership/LoadWatch.cpp
+++ b/Lagoonward/Membership/LoadWatch.cpp
@@ -112,14 +112,14 @@
     return false;
   }
   EndpointFact& known = found->second;
-  const TimePoint observedAt = this->clock.Now() - aFact.age * kAgeUnit;
-  if (!known.load || IsNewerReading(aFact.asOf, known.load->asOf)) {
+  const TimePoint observedAt = this->clock.Now() - aFact.age * kLoadAgeUnit;
+  if (!known.load || IsNewerSample(aFact.asOf, known.load->asOf)) {
     known.load = aFact;
     known.observedAt = observedAt;
   }
   // A watcher with a newer reading of its own still passes on this one: a newer one from here would
   // go through all daemons a second time
-  const bool isNews = !known.spread || IsNewerReading(aFact.asOf, known.spread->asOf);
+  const bool isNews = !known.published || IsNewerSample(aFact.asOf, known.published->asOf);
   if (isNews) {
     this->QueueLoad(known, aFact, observedAt);
   }
@@ -131,7 +131,7 @@
 {
   const auto found = this->facts.find(aFact.key);
   if (found != this->facts.end()) {
-    const bool isNews = Overrules(aFact, found->second);
+    const bool isNews = Supersedes(aFact, found->second);
     if (isNews) {
       this->SetState(found->second, aFact);
     }
@@ -162,8 +162,8 @@
     }
     EndpointFact& fact = found->second;
     fact.loadQueued = false;
-    if (fact.spread) {
-      loads.push_back(this->WithAge(*fact.spread, fact.spreadObservedAt));
+    if (fact.published) {
+      loads.push_back(this->WithAge(*fact.published, fact.publishedObservedAt));
       this->budget -= cost;
     }
   }
@@ -198,7 +198,7 @@
 {
   std::vector<StateFact> states;
   for (const auto& [key, fact] : this->facts) {
-    if (!IsPlain(fact)) {
+    if (!IsInitialState(fact)) {
       states.push_back(this->WithGrace(fact));
     }
   }
@@ -264,7 +264,7 @@
 {
   std::uint64_t digest = 0;
   for (const auto& [key, fact] : this->facts) {
-    if (!IsPlain(fact)) {
+    if (!IsInitialState(fact)) {
       digest ^= StateHash(fact);
     }
   }
@@ -321,24 +321,24 @@
     this->SetState(aFact, { aFact.key, EndpointState::Live, aFact.stateVersion + 1, 0 });
   }
   const LoadFact reading = this->ToFact(aFact.key, aLoad);
-  if (aFact.load && !IsNewerReading(reading.asOf, aFact.load->asOf)) {
+  if (aFact.load && !IsNewerSample(reading.asOf, aFact.load->asOf)) {
     return;
   }
   aFact.load = reading;
-  aFact.observedAt = this->clock.Now() - reading.age * kAgeUnit;
+  aFact.observedAt = this->clock.Now() - reading.age * kLoadAgeUnit;
   if (this->IsWorthSpreading(aFact, reading)) {
     this->QueueLoad(aFact, reading, aFact.observedAt);
   }
 }
 
 void
-LoadWatch::SetState(EndpointFact& aFact, const StateFact& aNews)
+LoadWatch::SetState(EndpointFact& aFact, const StateFact& aUpdate)
 {
-  aFact.state = aNews.state;
-  aFact.stateVersion = aNews.version;
+  aFact.state = aUpdate.state;
+  aFact.stateVersion = aUpdate.version;
   aFact.goneAfter.reset();
-  if (aNews.state == EndpointState::Leaving && aNews.graceLeft > 0) {
-    aFact.goneAfter = this->clock.Now() + Milliseconds(aNews.graceLeft);
+  if (aUpdate.state == EndpointState::Leaving && aUpdate.graceLeft > 0) {
+    aFact.goneAfter = this->clock.Now() + Milliseconds(aUpdate.graceLeft);
   }
   if (!aFact.stateQueued) {
     aFact.stateQueued = true;
@@ -347,11 +347,11 @@
 }
 
 void
-LoadWatch::QueueLoad(EndpointFact& aFact, const LoadFact& aReading, TimePoint aObservedAt)
+LoadWatch::QueueLoad(EndpointFact& aFact, const LoadFact& aSample, TimePoint aObservedAt)
 {
-  aFact.spread = aReading;
-  aFact.spreadObservedAt = aObservedAt;
-  aFact.spreadAt = this->clock.Now();
+  aFact.published = aSample;
+  aFact.publishedObservedAt = aObservedAt;
+  aFact.publishQueuedAt = this->clock.Now();
   if (!aFact.loadQueued) {
     aFact.loadQueued = true;
     this->dirtyLoads.push_back(aFact.key);
@@ -379,13 +379,13 @@
 }
 
 bool
-LoadWatch::IsWorthSpreading(const EndpointFact& aFact, const LoadFact& aReading) const
+LoadWatch::IsWorthSpreading(const EndpointFact& aFact, const LoadFact& aSample) const
 {
-  if (!aFact.spread) {
+  if (!aFact.published) {
     return true;
   }
-  const auto gap = this->clock.Now() - aFact.spreadAt;
-  const bool isMaterial = DiffersMaterially(*aFact.spread, aReading, this->settings.materialChange);
+  const auto gap = this->clock.Now() - aFact.publishQueuedAt;
+  const bool isMaterial = DiffersSignificantly(*aFact.published, aSample, this->settings.materialChange);
   return gap >= this->settings.maximumPublishGap ||
          (isMaterial && gap >= this->settings.minimumPublishGap);
 }
@@ -402,10 +402,10 @@
 }
 
 LoadFact
-LoadWatch::WithAge(LoadFact aReading, TimePoint aObservedAt) const
+LoadWatch::WithAge(LoadFact aSample, TimePoint aObservedAt) const
 {
-  aReading.age = ToAgeUnits(this->clock.Now() - aObservedAt);
-  return aReading;
+  aSample.age = ToAgeUnits(this->clock.Now() - aObservedAt);
+  return aSample;
 }
 
 StateFact
--- a/Lagoonward/Membership/LoadWatch.h
+++ b/Lagoonward/Membership/LoadWatch.h
@@ -95,13 +95,13 @@
   void ChooseWatched();
   void OnPollFailed(EndpointFact& aFact, Watch& aWatch);
   void OnPollAnswered(EndpointFact& aFact, Watch& aWatch, const EndpointLoad& aLoad);
-  void SetState(EndpointFact& aFact, const StateFact& aNews);
-  void QueueLoad(EndpointFact& aFact, const LoadFact& aReading, TimePoint aObservedAt);
+  void SetState(EndpointFact& aFact, const StateFact& aUpdate);
+  void QueueLoad(EndpointFact& aFact, const LoadFact& aSample, TimePoint aObservedAt);
   void RefillBudget();
   void ForgetDeparted();
-  [[nodiscard]] bool IsWorthSpreading(const EndpointFact& aFact, const LoadFact& aReading) const;
+  [[nodiscard]] bool IsWorthSpreading(const EndpointFact& aFact, const LoadFact& aSample) const;
   [[nodiscard]] LoadFact ToFact(EndpointKey aKey, const EndpointLoad& aLoad);
-  [[nodiscard]] LoadFact WithAge(LoadFact aReading, TimePoint aObservedAt) const;
+  [[nodiscard]] LoadFact WithAge(LoadFact aSample, TimePoint aObservedAt) const;
   [[nodiscard]] StateFact WithGrace(const EndpointFact& aFact) const;
   [[nodiscard]] bool IsFresh(const EndpointFact& aFact) const;
 
--- a/UnitTests/Membership/AggregationPlanTests.cpp
+++ b/UnitTests/Membership/AggregationPlanTests.cpp
@@ -56,7 +56,7 @@
     BOOST_REQUIRE(!plan.own.empty());
     firsts[plan.group].insert(plan.own.front().key);
     ++sizes[plan.group];
-    BOOST_TEST(plan.members.size() < 2 * AggregationSettings{}.largestGroup);
+    BOOST_TEST(plan.members.size() < 2 * AggregationSettings{}.maximumGroupSize);
     BOOST_TEST(plan.own.size() + plan.others.size() == plan.candidates.size());
     BOOST_TEST(plan.daemons == daemons);
   }
