--- a/Lagoonward/Membership/HostListPace.cpp
+++ b/Lagoonward/Membership/HostListPace.cpp
@@ -12,18 +12,18 @@
 bool
 HostListPace::IsDue(TimePoint aNow, bool aIsReader) const
 {
-  const Milliseconds perHost =
-    aIsReader ? this->settings.readerPerHost : this->settings.otherPerHost;
+  const Milliseconds intervalPerHost =
+    aIsReader ? this->settings.readerIntervalPerHost : this->settings.followerIntervalPerHost;
   const auto interval =
-    std::max(this->settings.interval, perHost * static_cast<std::int64_t>(this->hosts));
+    std::max(this->settings.interval, intervalPerHost * static_cast<std::int64_t>(this->hostCount));
   return !this->lastRead || aNow - *this->lastRead >= interval;
 }
 
 void
-HostListPace::OnRead(TimePoint aNow, std::size_t aHosts)
+HostListPace::OnRead(TimePoint aNow, std::size_t aHostCount)
 {
   this->lastRead = aNow;
-  this->hosts = aHosts;
+  this->hostCount = aHostCount;
 }
 
 } // namespace lagoonward
--- a/Lagoonward/Membership/HostListPace.h
+++ b/Lagoonward/Membership/HostListPace.h
@@ -7,25 +7,25 @@
 
 namespace lagoonward {
 
-/// How often a daemon reads the platform's host list itself. The longer the list, the rarer: each
-/// reading transfers all of it. Daemons that get it from their region's readers read seldom, against
-/// the case that the readers cannot reach the platform. Pure.
+/// Computes when this daemon polls the platform's host list. The interval grows with the length of the list, because each
+/// poll transfers all of it. Daemons that receive the list from the readers of their region poll at a much longer
+/// interval, as a fallback in case the readers cannot reach the platform. Performs no I/O. Not thread-safe.
 class HostListPace
 {
 public:
   explicit HostListPace(HostListSettings aSettings);
 
-  /// Whether to read now. The first reading is always due.
-  /// @param aIsReader  whether this daemon reads for its region
+  /// Whether a poll is due. The first one always is.
+  /// @param aIsReader  whether this daemon reads the list for its region
   [[nodiscard]] bool IsDue(TimePoint aNow, bool aIsReader) const;
 
-  /// Notes a reading.
-  void OnRead(TimePoint aNow, std::size_t aHosts);
+  /// Records a completed poll.
+  void OnRead(TimePoint aNow, std::size_t aHostCount);
 
 private:
   HostListSettings settings;
   std::optional<TimePoint> lastRead;
-  std::size_t hosts = 0; ///< In the last reading.
+  std::size_t hostCount = 0; ///< Of the list last read.
 };
 
 } // namespace lagoonward
--- a/Lagoonward/Membership/HostListShare.cpp
+++ b/Lagoonward/Membership/HostListShare.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// The shared form of a host list.
+/// Wire form of a host list.
 struct SharedHostList
 {
   std::vector<HostEntry> hosts;
@@ -54,7 +54,7 @@
                [this](const HostEntry& aHost) {
                  return aHost.kind == HostEntry::Kind::Daemon || aHost.region == this->region;
                });
-  // The order of the platform's answer says nothing
+  // The platform returns hosts in arbitrary order
   std::sort(list.hosts.begin(), list.hosts.end(),
             [](const HostEntry& aLeft, const HostEntry& aRight) { return aLeft.id < aRight.id; });
   std::string bytes;
@@ -64,19 +64,19 @@
     return std::nullopt;
   }
 
-  // Two readers may see lists of different age: only a change in one's own reading is news
+  // Two readers may see lists of different age, so only a change between this daemon's own reads is published
   const std::uint64_t hash = HashBytes(bytes);
-  this->isChanged |= hash != this->readHash;
-  this->readHash = hash;
-  if (!this->isChanged || hash == this->sharedHash) {
-    this->isChanged = false;
+  this->hasUnpublishedChange |= hash != this->lastReadHash;
+  this->lastReadHash = hash;
+  if (!this->hasUnpublishedChange || hash == this->sharedHash) {
+    this->hasUnpublishedChange = false;
     return std::nullopt;
   }
   const TimePoint now = this->clock.Now();
-  if (this->publishedAt && now - *this->publishedAt < this->settings.publishGap) {
+  if (this->publishedAt && now - *this->publishedAt < this->settings.publishInterval) {
     return std::nullopt;
   }
-  this->isChanged = false;
+  this->hasUnpublishedChange = false;
   this->sharedHash = hash;
   this->publishedAt = now;
   return SharedState{ std::string(kName), ToUnixMilliseconds(this->clock.WallNow()),
@@ -84,7 +84,7 @@
 }
 
 Result<std::vector<HostEntry>>
-HostListShare::OnShared(const SharedState& aState)
+HostListShare::ApplyShared(const SharedState& aState)
 {
   auto list = DecodeMessage<SharedHostList>(aState.bytes);
   if (!list) {
--- a/Lagoonward/Membership/HostListShare.h
+++ b/Lagoonward/Membership/HostListShare.h
@@ -12,32 +12,32 @@
 
 namespace lagoonward {
 
-/// Lets a few daemons of a region read the platform's host list for all of it: at 1,260 hosts one
-/// reading has 217 KB. What they read travels as a shared state of the region, reduced to all daemons
-/// and the region's endpoints, and only when it has changed. Pure.
+/// Distributes the platform's host list within a region, so that only a few daemons (the readers) poll it: at 1,260 hosts
+/// one response has 217 KB. A reader publishes the list as a shared state of the region, reduced to all daemons and the
+/// region's endpoints, and only when it has changed. Performs no I/O. Not thread-safe.
 class HostListShare
 {
 public:
-  /// Name of the shared state; it stays within the region.
+  /// Name of the shared state. It is not sent to other regions.
   static constexpr std::string_view kName = "region/hosts";
 
   HostListShare(const Clock& aClock, std::string aRegion, const HostListSettings& aSettings);
 
-  /// Takes a list that this daemon has read itself, one after the other.
-  /// @return what is to be published: nothing when the list reads as before, as the shared one, or
-  ///         when the last one was published too recently (it is then published with a later reading)
+  /// Handles a list that this daemon has read from the platform. To be called in the order of the reads.
+  /// @return the state to publish; nothing if the list equals the one read before or the shared one, or if the last
+  ///         publication is too recent (the change is then published after a later read)
   [[nodiscard]] std::optional<SharedState> OnRead(std::span<const HostEntry> aHosts);
 
-  /// Takes the list that a peer has shared. Errors: InvalidRequest.
-  [[nodiscard]] Result<std::vector<HostEntry>> OnShared(const SharedState& aState);
+  /// Decodes a list that a peer has shared. Errors: InvalidRequest.
+  [[nodiscard]] Result<std::vector<HostEntry>> ApplyShared(const SharedState& aState);
 
 private:
   const Clock& clock;
   std::string region;
   HostListSettings settings;
-  std::uint64_t readHash = 0;   ///< Of the last reading.
-  std::uint64_t sharedHash = 0; ///< Of the list last published or taken.
-  bool isChanged = false;       ///< A reading differed from the one before; not published yet.
+  std::uint64_t lastReadHash = 0;   ///< Of the list last read.
+  std::uint64_t sharedHash = 0; ///< Of the list last published or received.
+  bool hasUnpublishedChange = false;       ///< A list read differs from the one before and is not published yet.
   std::optional<TimePoint> publishedAt;
 };
 
--- a/Lagoonward/Membership/KeeperDirectory.cpp
+++ b/Lagoonward/Membership/KeeperDirectory.cpp
@@ -6,7 +6,7 @@
   : self(std::move(aSelf))
   , clock(aClock)
   , plan(this->self, true, this->view)
-  , changedAt(aClock.Now())
+  , daemonsChangedAt(aClock.Now())
 {
 }
 
@@ -15,18 +15,18 @@
 {
   const std::lock_guard lock(this->mutex);
   this->view = aView;
-  KeeperPlan next(this->self, !this->draining, this->view);
-  if (!next.HasSameDaemons(this->plan)) {
-    this->changedAt = this->clock.Now();
+  KeeperPlan nextPlan(this->self, !this->draining, this->view);
+  if (!nextPlan.HasSameDaemons(this->plan)) {
+    this->daemonsChangedAt = this->clock.Now();
   }
-  this->plan = std::move(next);
+  this->plan = std::move(nextPlan);
 }
 
 bool
-KeeperDirectory::IsSettled(Milliseconds aFor)
+KeeperDirectory::IsSettled(Milliseconds aDuration)
 {
   const std::lock_guard lock(this->mutex);
-  return this->clock.Now() - this->changedAt >= aFor;
+  return this->clock.Now() - this->daemonsChangedAt >= aDuration;
 }
 
 void
@@ -41,11 +41,11 @@
 KeeperDirectory::RoleOf(std::uint64_t aKey)
 {
   const std::lock_guard lock(this->mutex);
-  const Keepers& keepers = this->plan.KeepersOf(aKey);
-  if (keepers.primary && keepers.primary->key == this->self.Key()) {
+  const Keepers& owners = this->plan.KeepersOf(aKey);
+  if (owners.primary && owners.primary->key == this->self.Key()) {
     return KeeperRole::Primary;
   }
-  const bool isBackup = keepers.backup && keepers.backup->key == this->self.Key();
+  const bool isBackup = owners.backup && owners.backup->key == this->self.Key();
   return isBackup ? KeeperRole::Backup : KeeperRole::None;
 }
 
@@ -53,11 +53,11 @@
 KeeperDirectory::OthersFor(std::uint64_t aKey)
 {
   const std::lock_guard lock(this->mutex);
-  const Keepers& keepers = this->plan.KeepersOf(aKey);
+  const Keepers& owners = this->plan.KeepersOf(aKey);
   std::vector<PeerAddress> others;
-  for (const auto& keeper : { keepers.primary, keepers.backup }) {
-    if (keeper && keeper->key != this->self.Key()) {
-      others.push_back(*keeper);
+  for (const auto& owner : { owners.primary, owners.backup }) {
+    if (owner && owner->key != this->self.Key()) {
+      others.push_back(*owner);
     }
   }
   return others;
--- a/Lagoonward/Membership/KeeperDirectory.h
+++ b/Lagoonward/Membership/KeeperDirectory.h
@@ -7,7 +7,7 @@
 
 namespace lagoonward {
 
-/// What this daemon is for a key.
+/// Role of this daemon for a key.
 enum class KeeperRole
 {
   None,
@@ -15,34 +15,35 @@
   Backup,
 };
 
-/// The newest KeeperPlan, for all that daemons keep for each other. Thread-safe.
+/// Holds the ownership plan (KeeperPlan) of the latest peer view, for all state that is partitioned by key. Thread-safe.
 class KeeperDirectory
 {
 public:
   KeeperDirectory(PeerInfo aSelf, const Clock& aClock);
 
-  /// The daemons have changed.
+  /// Recomputes the plan for a new peer view.
   void OnPeers(const PeerView& aView);
 
-  /// This daemon leaves: it keeps nothing any more.
+  /// Removes this daemon from the plan: while it is leaving, it owns no keys.
   void Drain();
 
+  /// Role of this daemon for a key, by the latest plan.
   [[nodiscard]] KeeperRole RoleOf(std::uint64_t aKey);
 
-  /// Whether the daemons have been the same for a time, so that whoever keeps a key now kept it all along.
-  [[nodiscard]] bool IsSettled(Milliseconds aFor);
+  /// Whether the set of daemons has not changed for the given time, so that the current owners owned their keys throughout.
+  [[nodiscard]] bool IsSettled(Milliseconds aDuration);
 
-  /// The keepers of a key without this daemon, the primary first.
+  /// The owners of a key except this daemon, the primary first.
   [[nodiscard]] std::vector<PeerAddress> OthersFor(std::uint64_t aKey);
 
 private:
   const PeerInfo self;
   const Clock& clock;
-  std::mutex mutex; ///< Guards what follows.
+  std::mutex mutex; ///< Guards the members below.
   bool draining = false;
   PeerView view;
   KeeperPlan plan;
-  TimePoint changedAt; ///< When other daemons began to stand.
+  TimePoint daemonsChangedAt; ///< When the set of daemons in the plan last changed.
 };
 
 } // namespace lagoonward
--- a/Lagoonward/Membership/KeeperPlan.cpp
+++ b/Lagoonward/Membership/KeeperPlan.cpp
@@ -6,24 +6,24 @@
 
 namespace {
 
-/// Keys come from callers, too, so what is worked out for them is not kept without end.
-constexpr std::size_t kMaximumKnown = 4096;
+/// Bounds the cache, because keys also come from callers.
+constexpr std::size_t kMaximumCachedKeys = 4096;
 
 } // namespace
 
-KeeperPlan::KeeperPlan(const PeerInfo& aSelf, bool aStands, const PeerView& aView)
+KeeperPlan::KeeperPlan(const PeerInfo& aSelf, bool aEligible, const PeerView& aView)
 {
   const auto add = [this](const PeerInfo& aInfo, PeerKey aKey) {
     this->daemons.push_back(
       { { aKey, aInfo.address, aInfo.port }, HashBytes(aInfo.failureDomain) });
   };
-  if (aStands) {
+  if (aEligible) {
     add(aSelf, aSelf.Key());
   }
   for (const Peer& peer : aView.peers) {
-    // A suspected one may live; who is known by address only, as a seed, may not
-    const bool mayLive = peer.state == PeerState::Alive || peer.state == PeerState::Suspect;
-    if (mayLive && !peer.info.failureDomain.empty() && peer.info.region == aSelf.region) {
+    // A suspected peer may be alive. A peer known only by its address, such as a seed, is not eligible.
+    const bool mayBeAlive = peer.state == PeerState::Alive || peer.state == PeerState::Suspect;
+    if (mayBeAlive && !peer.info.failureDomain.empty() && peer.info.region == aSelf.region) {
       add(peer.info, peer.key);
     }
   }
@@ -32,9 +32,9 @@
 bool
 KeeperPlan::HasSameDaemons(const KeeperPlan& aOther) const
 {
-  // Views are ordered by key, and this daemon stands first
+  // Views are ordered by key, and this daemon is the first entry
   return std::equal(this->daemons.begin(), this->daemons.end(), aOther.daemons.begin(),
-                    aOther.daemons.end(), [](const Standing& aLeft, const Standing& aRight) {
+                    aOther.daemons.end(), [](const Candidate& aLeft, const Candidate& aRight) {
                       return aLeft.address.key == aRight.address.key;
                     });
 }
@@ -42,40 +42,40 @@
 const Keepers&
 KeeperPlan::KeepersOf(std::uint64_t aKey)
 {
-  const auto found = this->known.find(aKey);
-  if (found != this->known.end()) {
+  const auto found = this->cache.find(aKey);
+  if (found != this->cache.end()) {
     return found->second;
   }
-  const auto heaviest = [&](const Standing* aFirst) {
-    const Standing* best = nullptr;
-    std::uint64_t most = 0;
-    bool isElsewhere = false;
-    for (const Standing& each : this->daemons) {
+  const auto findHeaviest = [&](const Candidate* aFirst) {
+    const Candidate* best = nullptr;
+    std::uint64_t bestWeight = 0;
+    bool isBestInOtherDomain = false;
+    for (const Candidate& each : this->daemons) {
       if (&each == aFirst) {
         continue;
       }
-      const bool elsewhere = aFirst != nullptr && each.domain != aFirst->domain;
+      const bool isInOtherDomain = aFirst != nullptr && each.domain != aFirst->domain;
       const std::uint64_t weight = RendezvousWeight(aKey, each.address.key);
-      const bool isBetter = elsewhere == isElsewhere ? weight > most : elsewhere;
+      const bool isBetter = isInOtherDomain == isBestInOtherDomain ? weight > bestWeight : isInOtherDomain;
       if (best == nullptr || isBetter) {
         best = &each;
-        most = weight;
-        isElsewhere = elsewhere;
+        bestWeight = weight;
+        isBestInOtherDomain = isInOtherDomain;
       }
     }
     return best;
   };
-  Keepers keepers;
-  if (const Standing* primary = heaviest(nullptr)) {
-    keepers.primary = primary->address;
-    if (const Standing* backup = heaviest(primary)) {
-      keepers.backup = backup->address;
+  Keepers owners;
+  if (const Candidate* primary = findHeaviest(nullptr)) {
+    owners.primary = primary->address;
+    if (const Candidate* backup = findHeaviest(primary)) {
+      owners.backup = backup->address;
     }
   }
-  if (this->known.size() >= kMaximumKnown) {
-    this->known.clear();
+  if (this->cache.size() >= kMaximumCachedKeys) {
+    this->cache.clear();
   }
-  return this->known.emplace(aKey, std::move(keepers)).first->second;
+  return this->cache.emplace(aKey, std::move(owners)).first->second;
 }
 
 } // namespace lagoonward
--- a/Lagoonward/Membership/KeeperPlan.h
+++ b/Lagoonward/Membership/KeeperPlan.h
@@ -8,38 +8,38 @@
 
 namespace lagoonward {
 
-/// Who keeps what all daemons share of one key: a client's limit, an endpoint, a request.
+/// Owners of the shared state of one key. A key stands for a client's limit, an endpoint or a request.
 struct Keepers
 {
-  std::optional<PeerAddress> primary; ///< Nobody only where no daemon stands.
-  std::optional<PeerAddress> backup;  ///< In another failure domain, where there is one.
+  std::optional<PeerAddress> primary; ///< Empty only if no daemon is eligible.
+  std::optional<PeerAddress> backup;  ///< In another failure domain if there is one.
 };
 
-/// Which daemons are the keepers of shared keys. By rendezvous hashing, so that keys spread over all daemons, and one that
-/// comes or goes moves no other's. Every daemon works it out from its own view, so views that differ for a moment give
-/// plans that differ. Not thread-safe.
+/// Assigns keys to owner daemons by rendezvous hashing. Keys are distributed over all daemons, and a daemon that joins or
+/// leaves does not move the keys of others. Every daemon computes the plan from its own peer view, so plans differ while
+/// views differ. Not thread-safe.
 class KeeperPlan
 {
 public:
-  /// @param aStands  whether this daemon may be a keeper; false while it leaves
-  KeeperPlan(const PeerInfo& aSelf, bool aStands, const PeerView& aView);
+  /// @param aEligible  whether this daemon may own keys; false while it is leaving
+  KeeperPlan(const PeerInfo& aSelf, bool aEligible, const PeerView& aView);
 
-  /// Who keeps a key. The first call for a key takes time in proportion to the daemons. The reference holds until the
-  /// next call.
+  /// Owners of a key. The first call for a key takes time linear in the number of daemons; later ones are cached. The
+  /// reference is valid until the next call.
   [[nodiscard]] const Keepers& KeepersOf(std::uint64_t aKey);
 
-  /// Whether the same daemons may be keepers.
+  /// Whether both plans have the same eligible daemons.
   [[nodiscard]] bool HasSameDaemons(const KeeperPlan& aOther) const;
 
 private:
-  struct Standing
+  struct Candidate
   {
     PeerAddress address;
-    std::uint64_t domain = 0; ///< Hash of its failure domain.
+    std::uint64_t domain = 0; ///< Hash of the failure domain.
   };
 
-  std::vector<Standing> daemons;
-  std::unordered_map<std::uint64_t, Keepers> known;
+  std::vector<Candidate> daemons;
+  std::unordered_map<std::uint64_t, Keepers> cache;
 };
 
 } // namespace lagoonward
--- a/Lagoonward/Membership/LoadWatch.cpp
+++ b/Lagoonward/Membership/LoadWatch.cpp
@@ -10,8 +10,8 @@
   , self(aSelf)
   , settings(aSettings)
   , daemons{ aSelf }
-  , budget(static_cast<double>(aSettings.spreadBytesPerSecond))
-  , refilled(aClock.Now())
+  , budget(static_cast<double>(aSettings.loadBytesPerSecond))
+  , refilledAt(aClock.Now())
 {
 }
 
@@ -28,32 +28,32 @@
     }
     fact.key = key;
     fact.host = std::move(host);
-    this->departed.erase(key);
+    this->tombstones.erase(key);
   }
-  // What is left over is gone from the list; late news of it must not bring it back
+  // The remaining endpoints are no longer listed; late updates must not add them again
   for (const auto& item : this->facts) {
-    this->departed[item.first] = this->clock.Now();
+    this->tombstones[item.first] = this->clock.Now();
   }
   this->facts = std::move(next);
-  this->ForgetDeparted();
+  this->ExpireTombstones();
 
   for (auto& [key, fact] : this->facts) {
     if (fact.host.leaving) {
       this->Merge(StateFact{ key, EndpointState::Leaving, fact.stateVersion + 1, 0 });
     }
-    const auto news = this->early.extract(key);
-    if (!news.empty()) {
-      this->Merge(news.mapped().fact);
+    const auto pending = this->pendingUpdates.extract(key);
+    if (!pending.empty()) {
+      this->Merge(pending.mapped().fact);
     }
   }
-  this->ChooseWatched();
+  this->UpdatePolledEndpoints();
 }
 
 void
-LoadWatch::SetWatchers(std::span<const PeerKey> aDaemons)
+LoadWatch::SetPollers(std::span<const PeerKey> aDaemons)
 {
   this->daemons.assign(aDaemons.begin(), aDaemons.end());
-  this->ChooseWatched();
+  this->UpdatePolledEndpoints();
 }
 
 std::vector<HostEntry>
@@ -61,13 +61,13 @@
 {
   const TimePoint now = this->clock.Now();
   std::vector<HostEntry> due;
-  for (auto& [key, watch] : this->watched) {
-    const bool isWaiting = watch.askedAt && now - *watch.askedAt < this->settings.pollPatience;
-    if (now < watch.nextPoll || isWaiting) {
+  for (auto& [key, pollState] : this->pollStates) {
+    const bool isInProgress = pollState.pollStartedAt && now - *pollState.pollStartedAt < this->settings.pollTimeout;
+    if (now < pollState.nextPoll || isInProgress) {
       continue;
     }
-    watch.nextPoll = std::max(watch.nextPoll + this->settings.pollInterval, now);
-    watch.askedAt = now;
+    pollState.nextPoll = std::max(pollState.nextPoll + this->settings.pollInterval, now);
+    pollState.pollStartedAt = now;
     due.push_back(this->facts.at(key).host);
   }
   return due;
@@ -78,15 +78,15 @@
 {
   const EndpointKey key = ToEndpointKey(aEndpointId);
   const auto fact = this->facts.find(key);
-  const auto watch = this->watched.find(key);
-  if (fact == this->facts.end() || watch == this->watched.end()) {
+  const auto pollState = this->pollStates.find(key);
+  if (fact == this->facts.end() || pollState == this->pollStates.end()) {
     return;
   }
-  watch->second.askedAt.reset();
+  pollState->second.pollStartedAt.reset();
   if (aLoad) {
-    this->OnPollAnswered(fact->second, watch->second, aLoad.value());
+    this->OnPollSucceeded(fact->second, pollState->second, aLoad.value());
   } else {
-    this->OnPollFailed(fact->second, watch->second);
+    this->OnPollFailed(fact->second, pollState->second);
   }
 }
 
@@ -117,13 +117,13 @@
     known.load = aFact;
     known.observedAt = observedAt;
   }
-  // A watcher with a newer reading of its own still passes on this one: a newer one from here would
-  // go through all daemons a second time
-  const bool isNews = !known.published || IsNewerSample(aFact.asOf, known.published->asOf);
-  if (isNews) {
+  // Forwards this sample even if this daemon has polled a newer one: publishing the newer one instead would
+  // disseminate the same endpoint to all daemons a second time
+  const bool isNew = !known.published || IsNewerSample(aFact.asOf, known.published->asOf);
+  if (isNew) {
     this->QueueLoad(known, aFact, observedAt);
   }
-  return isNews;
+  return isNew;
 }
 
 bool
@@ -131,20 +131,20 @@
 {
   const auto found = this->facts.find(aFact.key);
   if (found != this->facts.end()) {
-    const bool isNews = Supersedes(aFact, found->second);
-    if (isNews) {
-      this->SetState(found->second, aFact);
+    const bool isNew = Supersedes(aFact, found->second);
+    if (isNew) {
+      this->ApplyState(found->second, aFact);
     }
-    return isNews;
+    return isNew;
   }
-  // Ahead of the host list. Grace counts down on the way, so that such news dies out.
-  const bool isKept = aFact.state == EndpointState::Leaving && aFact.graceLeft > 0 &&
-                      !this->departed.contains(aFact.key) && !this->early.contains(aFact.key);
-  if (isKept) {
-    this->early[aFact.key] = { aFact, this->clock.Now() + Milliseconds(aFact.graceLeft) };
-    this->dirtyStates.push_back(aFact.key);
+  // Not listed yet. The grace period counts down at every hop, so such updates expire.
+  const bool isPending = aFact.state == EndpointState::Leaving && aFact.graceLeft > 0 &&
+                      !this->tombstones.contains(aFact.key) && !this->pendingUpdates.contains(aFact.key);
+  if (isPending) {
+    this->pendingUpdates[aFact.key] = { aFact, this->clock.Now() + Milliseconds(aFact.graceLeft) };
+    this->queuedStates.push_back(aFact.key);
   }
-  return isKept;
+  return isPending;
 }
 
 std::vector<LoadFact>
@@ -154,9 +154,9 @@
   const double cost = static_cast<double>(kLoadFactBytes * std::max<std::size_t>(1, aReceivers));
   std::vector<LoadFact> loads;
   std::size_t taken = 0;
-  while (taken < this->dirtyLoads.size() && (loads.size() + 1) * kLoadFactBytes <= aBytes &&
+  while (taken < this->queuedLoads.size() && (loads.size() + 1) * kLoadFactBytes <= aBytes &&
          this->budget >= cost) {
-    const auto found = this->facts.find(this->dirtyLoads[taken++]);
+    const auto found = this->facts.find(this->queuedLoads[taken++]);
     if (found == this->facts.end()) {
       continue;
     }
@@ -167,8 +167,8 @@
       this->budget -= cost;
     }
   }
-  this->dirtyLoads.erase(this->dirtyLoads.begin(),
-                         this->dirtyLoads.begin() + static_cast<std::ptrdiff_t>(taken));
+  this->queuedLoads.erase(this->queuedLoads.begin(),
+                         this->queuedLoads.begin() + static_cast<std::ptrdiff_t>(taken));
   return loads;
 }
 
@@ -176,18 +176,18 @@
 LoadWatch::TakeStates(std::size_t aLimit)
 {
   std::vector<StateFact> states;
-  while (!this->dirtyStates.empty() && states.size() < aLimit) {
-    const EndpointKey key = this->dirtyStates.back();
-    this->dirtyStates.pop_back();
+  while (!this->queuedStates.empty() && states.size() < aLimit) {
+    const EndpointKey key = this->queuedStates.back();
+    this->queuedStates.pop_back();
     const auto found = this->facts.find(key);
     if (found != this->facts.end()) {
       found->second.stateQueued = false;
       states.push_back(this->WithGrace(found->second));
       continue;
     }
-    const auto news = this->early.find(key);
-    if (news != this->early.end()) {
-      states.push_back(news->second.fact);
+    const auto pending = this->pendingUpdates.find(key);
+    if (pending != this->pendingUpdates.end()) {
+      states.push_back(pending->second.fact);
     }
   }
   return states;
@@ -256,7 +256,7 @@
 std::size_t
 LoadWatch::WatchedCount() const
 {
-  return this->watched.size();
+  return this->pollStates.size();
 }
 
 std::uint64_t
@@ -272,53 +272,53 @@
 }
 
 void
-LoadWatch::ChooseWatched()
+LoadWatch::UpdatePolledEndpoints()
 {
-  std::unordered_map<EndpointKey, Watch> next;
+  std::unordered_map<EndpointKey, PollState> next;
   const TimePoint now = this->clock.Now();
   for (const auto& [key, fact] : this->facts) {
-    // Among the best few by rendezvous weight
-    const auto own = RendezvousWeight(key, this->self);
-    const auto better =
+    // This daemon polls the endpoints for which it is among the highest rendezvous weights
+    const auto ownWeight = RendezvousWeight(key, this->self);
+    const auto higherRanked =
       std::count_if(this->daemons.begin(), this->daemons.end(), [&, subject = key](PeerKey aPeer) {
-        return aPeer != this->self && RendezvousWeight(subject, aPeer) > own;
+        return aPeer != this->self && RendezvousWeight(subject, aPeer) > ownWeight;
       });
-    if (static_cast<std::size_t>(better) >= this->settings.watchersPerEndpoint) {
+    if (static_cast<std::size_t>(higherRanked) >= this->settings.pollersPerEndpoint) {
       continue;
     }
-    auto known = this->watched.extract(key);
+    auto known = this->pollStates.extract(key);
     if (!known.empty()) {
       next.insert(std::move(known));
       continue;
     }
-    // Spreads the polls of one daemon, and those of one endpoint's watchers, over the interval
-    const auto phase = own % static_cast<std::uint64_t>(
+    // Distributes the polls of one daemon, and those of the pollers of one endpoint, over the interval
+    const auto phase = ownWeight % static_cast<std::uint64_t>(
                                std::max<std::int64_t>(1, this->settings.pollInterval.count()));
     next[key].nextPoll = now + Milliseconds(phase);
   }
-  this->watched = std::move(next);
+  this->pollStates = std::move(next);
 }
 
 void
-LoadWatch::OnPollFailed(EndpointFact& aFact, Watch& aWatch)
+LoadWatch::OnPollFailed(EndpointFact& aFact, PollState& aPollState)
 {
-  if (aWatch.failures++ == 0) {
-    aWatch.failingSince = this->clock.Now();
+  if (aPollState.failures++ == 0) {
+    aPollState.failingSince = this->clock.Now();
   }
-  // Another watcher that still reads it knows better: the fault lies between it and this daemon
-  const bool isRead = aFact.load && aFact.observedAt >= aWatch.failingSince;
-  if (aWatch.failures >= this->settings.failuresToEject && !isRead &&
+  // If another poller still reads the endpoint, the fault is in the path between the endpoint and this daemon
+  const bool isReadByOthers = aFact.load && aFact.observedAt >= aPollState.failingSince;
+  if (aPollState.failures >= this->settings.failuresToEject && !isReadByOthers &&
       aFact.state == EndpointState::Live) {
-    this->SetState(aFact, { aFact.key, EndpointState::Ejected, aFact.stateVersion + 1, 0 });
+    this->ApplyState(aFact, { aFact.key, EndpointState::Ejected, aFact.stateVersion + 1, 0 });
   }
 }
 
 void
-LoadWatch::OnPollAnswered(EndpointFact& aFact, Watch& aWatch, const EndpointLoad& aLoad)
+LoadWatch::OnPollSucceeded(EndpointFact& aFact, PollState& aPollState, const EndpointLoad& aLoad)
 {
-  aWatch.failures = 0;
+  aPollState.failures = 0;
   if (aFact.state == EndpointState::Ejected) {
-    this->SetState(aFact, { aFact.key, EndpointState::Live, aFact.stateVersion + 1, 0 });
+    this->ApplyState(aFact, { aFact.key, EndpointState::Live, aFact.stateVersion + 1, 0 });
   }
   const LoadFact reading = this->ToFact(aFact.key, aLoad);
   if (aFact.load && !IsNewerSample(reading.asOf, aFact.load->asOf)) {
@@ -326,13 +326,13 @@
   }
   aFact.load = reading;
   aFact.observedAt = this->clock.Now() - reading.age * kLoadAgeUnit;
-  if (this->IsWorthSpreading(aFact, reading)) {
+  if (this->ShouldPublish(aFact, reading)) {
     this->QueueLoad(aFact, reading, aFact.observedAt);
   }
 }
 
 void
-LoadWatch::SetState(EndpointFact& aFact, const StateFact& aUpdate)
+LoadWatch::ApplyState(EndpointFact& aFact, const StateFact& aUpdate)
 {
   aFact.state = aUpdate.state;
   aFact.stateVersion = aUpdate.version;
@@ -342,7 +342,7 @@
   }
   if (!aFact.stateQueued) {
     aFact.stateQueued = true;
-    this->dirtyStates.push_back(aFact.key);
+    this->queuedStates.push_back(aFact.key);
   }
 }
 
@@ -354,7 +354,7 @@
   aFact.publishQueuedAt = this->clock.Now();
   if (!aFact.loadQueued) {
     aFact.loadQueued = true;
-    this->dirtyLoads.push_back(aFact.key);
+    this->queuedLoads.push_back(aFact.key);
   }
 }
 
@@ -362,32 +362,32 @@
 LoadWatch::RefillBudget()
 {
   const TimePoint now = this->clock.Now();
-  const double rate = static_cast<double>(this->settings.spreadBytesPerSecond);
-  const double seconds = std::chrono::duration<double>(now - this->refilled).count();
+  const double rate = static_cast<double>(this->settings.loadBytesPerSecond);
+  const double seconds = std::chrono::duration<double>(now - this->refilledAt).count();
   this->budget = std::min(rate, this->budget + rate * seconds);
-  this->refilled = now;
+  this->refilledAt = now;
 }
 
 void
-LoadWatch::ForgetDeparted()
+LoadWatch::ExpireTombstones()
 {
   const TimePoint now = this->clock.Now();
-  std::erase_if(this->departed, [&](const auto& aItem) {
-    return now - aItem.second > this->settings.departedMemory;
+  std::erase_if(this->tombstones, [&](const auto& aItem) {
+    return now - aItem.second > this->settings.tombstoneRetention;
   });
-  std::erase_if(this->early, [&](const auto& aItem) { return aItem.second.goneAfter < now; });
+  std::erase_if(this->pendingUpdates, [&](const auto& aItem) { return aItem.second.goneAfter < now; });
 }
 
 bool
-LoadWatch::IsWorthSpreading(const EndpointFact& aFact, const LoadFact& aSample) const
+LoadWatch::ShouldPublish(const EndpointFact& aFact, const LoadFact& aSample) const
 {
   if (!aFact.published) {
     return true;
   }
-  const auto gap = this->clock.Now() - aFact.publishQueuedAt;
-  const bool isMaterial = DiffersSignificantly(*aFact.published, aSample, this->settings.materialChange);
-  return gap >= this->settings.maximumPublishGap ||
-         (isMaterial && gap >= this->settings.minimumPublishGap);
+  const auto elapsed = this->clock.Now() - aFact.publishQueuedAt;
+  const bool isSignificant = DiffersSignificantly(*aFact.published, aSample, this->settings.significantChange);
+  return elapsed >= this->settings.maximumPublishInterval ||
+         (isSignificant && elapsed >= this->settings.minimumPublishInterval);
 }
 
 LoadFact
--- a/Lagoonward/Membership/LoadWatch.h
+++ b/Lagoonward/Membership/LoadWatch.h
@@ -13,93 +13,96 @@
 
 namespace lagoonward {
 
-/// Load, state and reclaim news of the region's endpoints. Each endpoint is polled by a few daemons
-/// of its region, chosen by rendezvous hashing; what they read spreads from daemon to daemon. Of
-/// two readings the one that is newer on the endpoint's own clock wins; `Leaving` is final.
-/// When a watcher dies the other ones go on, and as soon as the peer table has removed it the next in
-/// rendezvous order takes its place; until then readings come less often and their age shows it.
-/// Pure: no I/O, the clock is passed in.
+/// Tracks the load and the state (live, ejected, leaving) of the region's endpoints. Each endpoint is polled by a few
+/// daemons of its region, its pollers, chosen by rendezvous hashing. The samples are disseminated from daemon to daemon.
+/// Of two samples the one that is newer by the endpoint's ownWeight clock wins. `Leaving` is final.
+///
+/// When a poller fails, the other pollers continue. Once the peer table has removed it, the next daemon in rendezvous
+/// order replaces it. Until then samples arrive less often, which is visible in their age.
+///
+/// Performs no I/O; the clock is passed in. Not thread-safe.
 class LoadWatch
 {
 public:
   LoadWatch(const Clock& aClock, PeerKey aSelf, LoadWatchSettings aSettings);
 
-  /// Replaces the endpoints of the region. Facts of those that stay are kept. News of a leaving
-  /// endpoint that came ahead of the host list is remembered until its grace is over.
+  /// Replaces the endpoints of the region. Facts of endpoints that are still listed are kept. A `Leaving` update that
+  /// arrived before the host list named its endpoint is applied now, or kept until its grace period has ended.
   void SetEndpoints(std::vector<HostEntry> aEndpoints);
 
-  /// Daemons among which watchers are chosen, this one included.
-  void SetWatchers(std::span<const PeerKey> aDaemons);
+  /// Sets the daemons from which pollers are chosen, including this one.
+  void SetPollers(std::span<const PeerKey> aDaemons);
 
-  /// Endpoints to poll now.
+  /// Endpoints to poll now. Their polls are recorded as started.
   [[nodiscard]] std::vector<HostEntry> DuePolls();
 
-  /// Takes the result of a poll.
+  /// Handles the result of a poll.
   void OnPolled(const std::string& aEndpointId, const Result<EndpointLoad>& aLoad);
 
-  /// Takes a state that this daemon has learned itself. @return whether it was news
+  /// Handles a state observed by this daemon. @return whether the known state changed
   bool Report(const std::string& aEndpointId, EndpointState aState, Milliseconds aGrace);
 
-  /// Takes facts from a peer. @return whether the fact was news; news is passed on
+  /// Merges a fact received from a peer. @return whether it was new; new facts are queued for dissemination
   bool Merge(const LoadFact& aFact);
   bool Merge(const StateFact& aFact);
 
-  /// Load facts to pass on now, at most what fits aBytes and the byte budget; the ones left over
-  /// stay for the next round, by then perhaps replaced by newer readings.
-  /// @param aReceivers  peers that will get each of them; the budget counts every copy
+  /// Takes queued load facts for one datagram, limited by aBytes and by the byte budget. The remaining ones stay queued
+  /// for the next round and may be replaced by newer samples until then.
+  /// @param aReceivers  number of peers that get each fact; the budget counts every copy
   [[nodiscard]] std::vector<LoadFact> TakeLoads(std::size_t aBytes, std::size_t aReceivers);
 
-  /// State facts to pass on now, at most aLimit.
+  /// Takes queued state facts, at most aLimit.
   [[nodiscard]] std::vector<StateFact> TakeStates(std::size_t aLimit);
 
-  /// Every state fact that is not plainly live.
+  /// All state facts that differ from the initial state.
   [[nodiscard]] std::vector<StateFact> AllStates() const;
 
-  /// Every load fact that is fresh.
+  /// All load facts that are not stale.
   [[nodiscard]] std::vector<LoadFact> AllLoads() const;
 
-  /// Adds a profile that a peer has sent.
+  /// Stores a profile received from a peer.
   void AddProfile(EndpointProfile aProfile);
 
-  /// A profile by hash, or nullptr when it must be asked for.
+  /// A profile by hash, or nullptr if it must be requested from a peer.
   [[nodiscard]] const EndpointProfile* FindProfile(std::uint32_t aHash) const;
 
-  /// Everything known, in no order.
+  /// All endpoints, unordered.
   [[nodiscard]] const std::unordered_map<EndpointKey, EndpointFact>& Facts() const;
 
-  /// A fact's load in the form that routing uses; nothing when it is stale or its profile unknown.
+  /// Load of a fact in the form used by routing; nothing if it is stale or its profile is unknown.
   [[nodiscard]] std::optional<EndpointLoad> LoadOf(const EndpointFact& aFact) const;
 
-  /// Endpoints that this daemon polls.
+  /// Number of endpoints that this daemon polls.
   [[nodiscard]] std::size_t WatchedCount() const;
 
-  /// The same on two daemons that know the same states.
+  /// Digest of all states. Equal on daemons that have the same states.
   [[nodiscard]] std::uint64_t StateDigest() const;
 
 private:
-  struct Watch
+  /// Poll schedule of an endpoint that this daemon polls.
+  struct PollState
   {
     TimePoint nextPoll;
     std::size_t failures = 0;
     TimePoint failingSince;
-    std::optional<TimePoint> askedAt; ///< A poll that has not ended.
+    std::optional<TimePoint> pollStartedAt; ///< Start of a poll that has not completed.
   };
 
-  /// A leaving endpoint that the host list does not name yet.
-  struct EarlyNews
+  /// A `Leaving` update of an endpoint that the host list does not name yet.
+  struct PendingUpdate
   {
     StateFact fact;
     TimePoint goneAfter;
   };
 
-  void ChooseWatched();
-  void OnPollFailed(EndpointFact& aFact, Watch& aWatch);
-  void OnPollAnswered(EndpointFact& aFact, Watch& aWatch, const EndpointLoad& aLoad);
-  void SetState(EndpointFact& aFact, const StateFact& aUpdate);
+  void UpdatePolledEndpoints();
+  void OnPollFailed(EndpointFact& aFact, PollState& aPollState);
+  void OnPollSucceeded(EndpointFact& aFact, PollState& aPollState, const EndpointLoad& aLoad);
+  void ApplyState(EndpointFact& aFact, const StateFact& aUpdate);
   void QueueLoad(EndpointFact& aFact, const LoadFact& aSample, TimePoint aObservedAt);
   void RefillBudget();
-  void ForgetDeparted();
-  [[nodiscard]] bool IsWorthSpreading(const EndpointFact& aFact, const LoadFact& aSample) const;
+  void ExpireTombstones();
+  [[nodiscard]] bool ShouldPublish(const EndpointFact& aFact, const LoadFact& aSample) const;
   [[nodiscard]] LoadFact ToFact(EndpointKey aKey, const EndpointLoad& aLoad);
   [[nodiscard]] LoadFact WithAge(LoadFact aSample, TimePoint aObservedAt) const;
   [[nodiscard]] StateFact WithGrace(const EndpointFact& aFact) const;
@@ -110,14 +113,14 @@
   LoadWatchSettings settings;
   std::vector<PeerKey> daemons;
   std::unordered_map<EndpointKey, EndpointFact> facts;
-  std::unordered_map<EndpointKey, Watch> watched;
-  std::unordered_map<EndpointKey, EarlyNews> early;
-  std::unordered_map<EndpointKey, TimePoint> departed; ///< Not listed any more, since when.
+  std::unordered_map<EndpointKey, PollState> pollStates;
+  std::unordered_map<EndpointKey, PendingUpdate> pendingUpdates;
+  std::unordered_map<EndpointKey, TimePoint> tombstones; ///< Endpoints removed from the host list, with the time of removal.
   std::unordered_map<std::uint32_t, EndpointProfile> profiles;
-  std::vector<EndpointKey> dirtyLoads; ///< The longest waiting first.
-  std::vector<EndpointKey> dirtyStates;
-  double budget; ///< Load bytes that may be sent now.
-  TimePoint refilled;
+  std::vector<EndpointKey> queuedLoads; ///< Queued for dissemination, oldest first.
+  std::vector<EndpointKey> queuedStates;
+  double budget; ///< Bytes of load facts that may be sent now.
+  TimePoint refilledAt;
 };
 
 } // namespace lagoonward
--- a/Lagoonward/Membership/MembershipService.cpp
+++ b/Lagoonward/Membership/MembershipService.cpp
@@ -211,7 +211,7 @@
   this->loop.Post([this, aKeyHash, handler = std::move(aHandler)] {
     const auto holders =
       SoftRecords::Holders(aKeyHash, this->identity.self.region, this->Peers()->peers,
-                           this->settings.softRecords.searchedHolders);
+                           this->settings.softRecords.maximumLookups);
     this->exchange.FindRecord(aKeyHash, holders, handler);
   });
 }
@@ -229,7 +229,7 @@
   this->PublishPeers();
   this->exchange.JoinIfNeeded();
   this->StartPolls();
-  if (this->clock.Now() - this->lastSpread >= this->settings.loads.spreadInterval) {
+  if (this->clock.Now() - this->lastSpread >= this->settings.loads.loadSendInterval) {
     this->lastSpread = this->clock.Now();
     this->spreader.SpreadLoads();
   }
--- a/Lagoonward/Membership/NewsSpreader.cpp
+++ b/Lagoonward/Membership/NewsSpreader.cpp
@@ -96,7 +96,7 @@
 NewsSpreader::SpreadOwnState()
 {
   for (const PeerKey peer :
-       this->parts.peers.Region().Successors(this->settings.loads.newsFanout)) {
+       this->parts.peers.Region().Successors(this->settings.loads.updateFanout)) {
     this->Send(peer, Datagram());
   }
 }
@@ -105,7 +105,7 @@
 NewsSpreader::SpreadInRegion(std::vector<StateFact> aStates, std::span<const VersionNote> aNotes)
 {
   const std::size_t room = this->settings.transport.maximumDatagram - kFixedBytes;
-  const auto receivers = this->parts.peers.Region().Successors(this->settings.loads.newsFanout);
+  const auto receivers = this->parts.peers.Region().Successors(this->settings.loads.updateFanout);
   while (!aNotes.empty() || !aStates.empty()) {
     Datagram datagram;
     datagram.states = std::move(aStates);
--- a/UnitTests/Membership/HostListShareTests.cpp
+++ b/UnitTests/Membership/HostListShareTests.cpp
@@ -41,7 +41,7 @@
   BOOST_TEST_REQUIRE(state.has_value());
   BOOST_TEST(state->IsRegional());
   HostListShare other(this->clock, "here", HostListSettings());
-  const auto hosts = other.OnShared(*state);
+  const auto hosts = other.ApplyShared(*state);
   BOOST_TEST_REQUIRE(hosts.has_value());
   BOOST_TEST(hosts.value().size() == 4U);
   BOOST_TEST((hosts.value().back().kind == HostEntry::Kind::Service));
@@ -68,7 +68,7 @@
   auto next = old;
   next.push_back(MakeHost("engine-9", HostEntry::Kind::Engine, "here"));
   BOOST_TEST(this->share.OnRead(old).has_value());
-  BOOST_TEST(this->share.OnShared(*ahead.OnRead(next)).has_value());
+  BOOST_TEST(this->share.ApplyShared(*ahead.OnRead(next)).has_value());
   for (int second = 0; second < 20; ++second) {
     this->clock.Advance(Seconds(1));
     BOOST_TEST(!this->share.OnRead(old).has_value());
@@ -80,7 +80,7 @@
 {
   auto state = *this->share.OnRead(MakeHosts());
   state.bytes.pop_back();
-  BOOST_TEST(!this->share.OnShared(state).has_value());
+  BOOST_TEST(!this->share.ApplyShared(state).has_value());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/UnitTests/Membership/LoadWatchTests.cpp
+++ b/UnitTests/Membership/LoadWatchTests.cpp
@@ -21,10 +21,10 @@
   return hosts;
 }
 
-/// One daemon's watch that polls every endpoint itself.
+/// One daemon's pollState that polls every endpoint itself.
 struct Fixture
 {
-  Fixture() { this->watch.SetEndpoints(MakeEndpoints(3)); }
+  Fixture() { this->monitor.SetEndpoints(MakeEndpoints(3)); }
 
   EndpointLoad Reading(int aRunning)
   {
@@ -39,11 +39,11 @@
 
   const EndpointFact& Fact(const std::string& aId)
   {
-    return this->watch.Facts().at(ToEndpointKey(aId));
+    return this->monitor.Facts().at(ToEndpointKey(aId));
   }
 
   VirtualClock clock;
-  LoadWatch watch{ this->clock, 1, LoadWatchSettings() };
+  LoadWatch monitor{ this->clock, 1, LoadWatchSettings() };
 };
 
 } // namespace
@@ -53,19 +53,19 @@
 BOOST_AUTO_TEST_CASE(EveryEndpointHasItsWatchersAndADeadOneIsReplaced)
 {
   std::vector<PeerKey> daemons{ 1, 2, 3, 4, 5, 6, 7, 8 };
-  const auto countWatchers = [&] {
+  const auto countPollers = [&] {
     std::size_t count = 0;
     for (const PeerKey self : daemons) {
       LoadWatch other(this->clock, self, LoadWatchSettings());
       other.SetEndpoints(MakeEndpoints(50));
-      other.SetWatchers(daemons);
+      other.SetPollers(daemons);
       count += other.WatchedCount();
     }
     return count;
   };
-  BOOST_TEST(countWatchers() == 100U);
+  BOOST_TEST(countPollers() == 100U);
   daemons.erase(daemons.begin() + 3);
-  BOOST_TEST(countWatchers() == 100U);
+  BOOST_TEST(countPollers() == 100U);
 }
 
 BOOST_AUTO_TEST_CASE(PollsAreDueOncePerInterval)
@@ -73,8 +73,8 @@
   std::size_t polls = 0;
   for (int step = 0; step < 100; ++step) {
     this->clock.Advance(Milliseconds(100));
-    for (const HostEntry& host : this->watch.DuePolls()) {
-      this->watch.OnPolled(host.id, this->Reading(4));
+    for (const HostEntry& host : this->monitor.DuePolls()) {
+      this->monitor.OnPolled(host.id, this->Reading(4));
       ++polls;
     }
   }
@@ -85,20 +85,20 @@
 BOOST_AUTO_TEST_CASE(PollThatNeverEndsIsNotRepeatedAtOnce)
 {
   this->clock.Advance(Seconds(1));
-  BOOST_TEST(this->watch.DuePolls().size() == 3U);
+  BOOST_TEST(this->monitor.DuePolls().size() == 3U);
   this->clock.Advance(Seconds(2));
-  BOOST_TEST(this->watch.DuePolls().empty());
+  BOOST_TEST(this->monitor.DuePolls().empty());
   this->clock.Advance(Seconds(4));
-  BOOST_TEST(this->watch.DuePolls().size() == 3U);
+  BOOST_TEST(this->monitor.DuePolls().size() == 3U);
 }
 
 BOOST_AUTO_TEST_CASE(ReadingTravelsWithItsAge)
 {
   LoadWatch other(this->clock, 2, LoadWatchSettings());
   other.SetEndpoints(MakeEndpoints(3));
-  this->watch.OnPolled("engine-1", this->Reading(7));
+  this->monitor.OnPolled("engine-1", this->Reading(7));
   this->clock.Advance(Milliseconds(300));
-  const auto loads = this->watch.TakeLoads(kRoom, 1);
+  const auto loads = this->monitor.TakeLoads(kRoom, 1);
   BOOST_TEST_REQUIRE(loads.size() == 1U);
   BOOST_TEST(loads[0].age == 30);
   BOOST_TEST(other.Merge(loads[0]));
@@ -106,7 +106,7 @@
 
   const EndpointFact& fact = other.Facts().at(ToEndpointKey("engine-1"));
   BOOST_TEST(!other.LoadOf(fact).has_value());
-  other.AddProfile(*this->watch.FindProfile(loads[0].profile));
+  other.AddProfile(*this->monitor.FindProfile(loads[0].profile));
   const auto load = other.LoadOf(fact);
   BOOST_TEST_REQUIRE(load.has_value());
   BOOST_TEST(load->running == 7);
@@ -119,31 +119,31 @@
 {
   LoadFact newer{ ToEndpointKey("engine-0"), 1000, 0, 0, 5, 0, 1 };
   LoadFact older{ ToEndpointKey("engine-0"), 900, 0, 0, 9, 0, 1 };
-  BOOST_TEST(this->watch.Merge(newer));
-  BOOST_TEST(!this->watch.Merge(older));
+  BOOST_TEST(this->monitor.Merge(newer));
+  BOOST_TEST(!this->monitor.Merge(older));
   BOOST_TEST(this->Fact("engine-0").load->running == 5);
 
   // The endpoint's clock wraps in its low 32 bits
   const LoadFact last{ ToEndpointKey("engine-1"), 0xfffffff0U, 0, 0, 1, 0, 1 };
   const LoadFact wrapped{ ToEndpointKey("engine-1"), 5, 0, 0, 2, 0, 1 };
-  BOOST_TEST(this->watch.Merge(last));
-  BOOST_TEST(this->watch.Merge(wrapped));
+  BOOST_TEST(this->monitor.Merge(last));
+  BOOST_TEST(this->monitor.Merge(wrapped));
 }
 
 BOOST_AUTO_TEST_CASE(StaleLoadIsNotGivenOut)
 {
-  this->watch.OnPolled("engine-0", this->Reading(3));
-  BOOST_TEST(this->watch.LoadOf(this->Fact("engine-0")).has_value());
+  this->monitor.OnPolled("engine-0", this->Reading(3));
+  BOOST_TEST(this->monitor.LoadOf(this->Fact("engine-0")).has_value());
   this->clock.Advance(Seconds(11));
-  BOOST_TEST(!this->watch.LoadOf(this->Fact("engine-0")).has_value());
+  BOOST_TEST(!this->monitor.LoadOf(this->Fact("engine-0")).has_value());
 }
 
 BOOST_AUTO_TEST_CASE(SmallChangesWaitAndLargeOnesDoNotExceedTheirRate)
 {
   const auto poll = [&](int aRunning) {
     this->clock.Advance(Seconds(1));
-    this->watch.OnPolled("engine-0", this->Reading(aRunning));
-    return this->watch.TakeLoads(kRoom, 2).size();
+    this->monitor.OnPolled("engine-0", this->Reading(aRunning));
+    return this->monitor.TakeLoads(kRoom, 2).size();
   };
   BOOST_TEST(poll(40) == 1U);
   BOOST_TEST(poll(80) == 0U);
@@ -157,58 +157,58 @@
 
 BOOST_AUTO_TEST_CASE(SpreadingStaysWithinItsBudget)
 {
-  this->watch.SetEndpoints(MakeEndpoints(5000));
+  this->monitor.SetEndpoints(MakeEndpoints(5000));
   std::size_t bytes = 0;
   for (int second = 0; second < 10; ++second) {
     this->clock.Advance(Seconds(1));
     for (const HostEntry& host : MakeEndpoints(5000)) {
-      this->watch.OnPolled(host.id, this->Reading(second * 50));
+      this->monitor.OnPolled(host.id, this->Reading(second * 50));
     }
-    for (auto loads = this->watch.TakeLoads(kRoom, 2); !loads.empty();
-         loads = this->watch.TakeLoads(kRoom, 2)) {
+    for (auto loads = this->monitor.TakeLoads(kRoom, 2); !loads.empty();
+         loads = this->monitor.TakeLoads(kRoom, 2)) {
       bytes += 2 * loads.size() * kLoadFactBytes;
     }
   }
-  BOOST_TEST(bytes <= 11 * LoadWatchSettings().spreadBytesPerSecond);
-  BOOST_TEST(bytes >= 9 * LoadWatchSettings().spreadBytesPerSecond);
+  BOOST_TEST(bytes <= 11 * LoadWatchSettings().loadBytesPerSecond);
+  BOOST_TEST(bytes >= 9 * LoadWatchSettings().loadBytesPerSecond);
 }
 
 BOOST_AUTO_TEST_CASE(LeavingIsFinalAndNeedsNoHostList)
 {
-  BOOST_TEST(this->watch.Report("engine-0", EndpointState::Leaving, Seconds(30)));
-  BOOST_TEST(!this->watch.Report("engine-0", EndpointState::Leaving, Seconds(30)));
-  const auto states = this->watch.TakeStates(10);
+  BOOST_TEST(this->monitor.Report("engine-0", EndpointState::Leaving, Seconds(30)));
+  BOOST_TEST(!this->monitor.Report("engine-0", EndpointState::Leaving, Seconds(30)));
+  const auto states = this->monitor.TakeStates(10);
   BOOST_TEST_REQUIRE(states.size() == 1U);
   BOOST_TEST(states[0].graceLeft == 30000U);
   BOOST_TEST(
-    !this->watch.Merge(StateFact{ ToEndpointKey("engine-0"), EndpointState::Live, 99, 0 }));
+    !this->monitor.Merge(StateFact{ ToEndpointKey("engine-0"), EndpointState::Live, 99, 0 }));
   BOOST_TEST((this->Fact("engine-0").state == EndpointState::Leaving));
 
   // Ahead of the list: passed on, and in force once the list names the endpoint
-  BOOST_TEST(this->watch.Report("engine-9", EndpointState::Leaving, Seconds(30)));
-  BOOST_TEST(this->watch.TakeStates(10).size() == 1U);
-  this->watch.SetEndpoints(MakeEndpoints(10));
+  BOOST_TEST(this->monitor.Report("engine-9", EndpointState::Leaving, Seconds(30)));
+  BOOST_TEST(this->monitor.TakeStates(10).size() == 1U);
+  this->monitor.SetEndpoints(MakeEndpoints(10));
   BOOST_TEST((this->Fact("engine-9").state == EndpointState::Leaving));
 }
 
 BOOST_AUTO_TEST_CASE(NewsOfAnUnlistedEndpointDiesOut)
 {
-  BOOST_TEST(this->watch.Report("engine-0", EndpointState::Leaving, Seconds(30)));
-  const StateFact fact = this->watch.TakeStates(1).front();
-  this->watch.SetEndpoints({});
-  BOOST_TEST(!this->watch.Merge(fact));
-  BOOST_TEST(this->watch.TakeStates(10).empty());
+  BOOST_TEST(this->monitor.Report("engine-0", EndpointState::Leaving, Seconds(30)));
+  const StateFact fact = this->monitor.TakeStates(1).front();
+  this->monitor.SetEndpoints({});
+  BOOST_TEST(!this->monitor.Merge(fact));
+  BOOST_TEST(this->monitor.TakeStates(10).empty());
 }
 
 BOOST_AUTO_TEST_CASE(SilentEndpointIsEjectedAndComesBackWhenItAnswers)
 {
   const Error refused(ErrorKind::EndpointFailed, "no connection");
-  this->watch.OnPolled("engine-0", refused);
-  this->watch.OnPolled("engine-0", refused);
+  this->monitor.OnPolled("engine-0", refused);
+  this->monitor.OnPolled("engine-0", refused);
   BOOST_TEST((this->Fact("engine-0").state == EndpointState::Live));
-  this->watch.OnPolled("engine-0", refused);
+  this->monitor.OnPolled("engine-0", refused);
   BOOST_TEST((this->Fact("engine-0").state == EndpointState::Ejected));
-  this->watch.OnPolled("engine-0", this->Reading(1));
+  this->monitor.OnPolled("engine-0", this->Reading(1));
   BOOST_TEST((this->Fact("engine-0").state == EndpointState::Live));
 }
 
@@ -217,9 +217,9 @@
   const Error refused(ErrorKind::EndpointFailed, "no connection");
   for (int round = 0; round < 10; ++round) {
     this->clock.Advance(Seconds(1));
-    this->watch.OnPolled("engine-0", refused);
+    this->monitor.OnPolled("engine-0", refused);
     const auto asOf = static_cast<std::uint32_t>(1000 + round);
-    this->watch.Merge(LoadFact{ ToEndpointKey("engine-0"), asOf, 0, 0, 1, 0, 1 });
+    this->monitor.Merge(LoadFact{ ToEndpointKey("engine-0"), asOf, 0, 0, 1, 0, 1 });
   }
   BOOST_TEST((this->Fact("engine-0").state == EndpointState::Live));
 }
@@ -228,13 +228,13 @@
 {
   LoadWatch other(this->clock, 2, LoadWatchSettings());
   other.SetEndpoints(MakeEndpoints(3));
-  BOOST_TEST(this->watch.StateDigest() == other.StateDigest());
-  this->watch.Report("engine-2", EndpointState::Leaving, Seconds(5));
-  BOOST_TEST(this->watch.StateDigest() != other.StateDigest());
-  for (const StateFact& fact : this->watch.AllStates()) {
+  BOOST_TEST(this->monitor.StateDigest() == other.StateDigest());
+  this->monitor.Report("engine-2", EndpointState::Leaving, Seconds(5));
+  BOOST_TEST(this->monitor.StateDigest() != other.StateDigest());
+  for (const StateFact& fact : this->monitor.AllStates()) {
     other.Merge(fact);
   }
-  BOOST_TEST(this->watch.StateDigest() == other.StateDigest());
+  BOOST_TEST(this->monitor.StateDigest() == other.StateDigest());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
