--- a/Lagoonward/Membership/LoadWatch.cpp
+++ b/Lagoonward/Membership/LoadWatch.cpp
@@ -320,14 +320,14 @@
   if (aFact.state == EndpointState::Ejected) {
     this->ApplyState(aFact, { aFact.key, EndpointState::Live, aFact.stateVersion + 1, 0 });
   }
-  const LoadFact reading = this->ToFact(aFact.key, aLoad);
-  if (aFact.load && !IsNewerSample(reading.asOf, aFact.load->asOf)) {
+  const LoadFact sample = this->ToFact(aFact.key, aLoad);
+  if (aFact.load && !IsNewerSample(sample.asOf, aFact.load->asOf)) {
     return;
   }
-  aFact.load = reading;
-  aFact.observedAt = this->clock.Now() - reading.age * kLoadAgeUnit;
-  if (this->ShouldPublish(aFact, reading)) {
-    this->QueueLoad(aFact, reading, aFact.observedAt);
+  aFact.load = sample;
+  aFact.observedAt = this->clock.Now() - sample.age * kLoadAgeUnit;
+  if (this->ShouldPublish(aFact, sample)) {
+    this->QueueLoad(aFact, sample, aFact.observedAt);
   }
 }
 
--- a/Lagoonward/Membership/MembershipService.cpp
+++ b/Lagoonward/Membership/MembershipService.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// How long an asker of an indirect probe is remembered.
-constexpr Milliseconds kIndirectMemory{ 2000 };
+/// Retention of the requester of an indirect probe.
+constexpr Milliseconds kIndirectProbeRetention{ 2000 };
 
 } // namespace
 
@@ -26,16 +26,16 @@
   , loads(aClock, this->identity.self.Key(), aSettings.loads)
   , records(aClock, aSettings.softRecords)
   , exchange(aClock, { this->transport, this->peers, this->loads, this->states, this->records },
-             this->settings, [this] { this->ScheduleNews(); })
-  , spreader({ this->transport, this->peers, this->loads, this->exchange }, this->settings)
+             this->settings, [this] { this->ScheduleUpdates(); })
+  , disseminator({ this->transport, this->peers, this->loads, this->exchange }, this->settings)
   , hostList(aClock, this->identity.self.region, aSettings.hostList)
   , view(std::make_shared<PeerView>())
-  , lastSpread(aClock.Now())
+  , lastLoadSend(aClock.Now())
 {
   this->exchange.Register();
-  this->states.SetValidator([this](const SharedState& aState) { return this->TakeState(aState); });
+  this->states.SetValidator([this](const SharedState& aState) { return this->ApplySharedState(aState); });
   this->transport.OnDatagram(
-    [this](PeerKey aSender, const Datagram& aDatagram) { this->TakeDatagram(aSender, aDatagram); });
+    [this](PeerKey aSender, const Datagram& aDatagram) { this->HandleDatagram(aSender, aDatagram); });
 }
 
 MembershipService::~MembershipService()
@@ -69,8 +69,8 @@
 {
   this->loop.Run([this] {
     this->peers.Leave();
-    // The region learns it now; the rest with the heartbeats
-    this->spreader.SpreadOwnState();
+    // Daemons of the region receive it now, other regions with the next probes
+    this->disseminator.SendOwnState();
   });
 }
 
@@ -114,8 +114,8 @@
 MembershipService::ApplyHostList(std::vector<HostEntry> aHosts)
 {
   this->loop.Post([this, hosts = std::move(aHosts)] {
-    this->TakeHosts(hosts);
-    // The list may have named the region's readers: a daemon that has just started shares nothing
+    this->ApplyHosts(hosts);
+    // Select the readers first, as the list may name them: a daemon that has just started must not share its list
     this->PublishPeers();
     const auto shared = this->readsHostList ? this->hostList.OnRead(hosts) : std::nullopt;
     if (shared) {
@@ -138,7 +138,7 @@
 {
   this->loop.Post([this, aEndpointId, aState, aGrace] {
     if (this->loads.Report(aEndpointId, aState, aGrace)) {
-      this->ScheduleNews();
+      this->ScheduleUpdates();
     }
   });
 }
@@ -155,7 +155,7 @@
       return;
     }
     this->loop.After(aAnnounceAfter, [this, topic = state.Topic()] {
-      // Whatever is the newest by then
+      // Announces the version that is the newest by then
       if (const SharedState* newest = this->states.Find(topic)) {
         this->Announce(*newest);
       }
@@ -188,7 +188,7 @@
 }
 
 SoftRecords&
-MembershipService::HeldRecords()
+MembershipService::StoredRecords()
 {
   return this->records;
 }
@@ -210,7 +210,7 @@
 {
   this->loop.Post([this, aKeyHash, handler = std::move(aHandler)] {
     const auto holders =
-      SoftRecords::Holders(aKeyHash, this->identity.self.region, this->Peers()->peers,
+      SoftRecords::PossibleHolders(aKeyHash, this->identity.self.region, this->Peers()->peers,
                            this->settings.softRecords.maximumLookups);
     this->exchange.FindRecord(aKeyHash, holders, handler);
   });
@@ -229,9 +229,9 @@
   this->PublishPeers();
   this->exchange.JoinIfNeeded();
   this->StartPolls();
-  if (this->clock.Now() - this->lastSpread >= this->settings.loads.loadSendInterval) {
-    this->lastSpread = this->clock.Now();
-    this->spreader.SpreadLoads();
+  if (this->clock.Now() - this->lastLoadSend >= this->settings.loads.loadSendInterval) {
+    this->lastLoadSend = this->clock.Now();
+    this->disseminator.SendLoads();
   }
   this->records.Sweep();
   if (std::exchange(this->endpointsChanged, false) && this->endpointsHandler) {
@@ -247,25 +247,25 @@
     datagram.kind = order.kind;
     datagram.nonce = order.nonce;
     datagram.subject = order.subject;
-    this->spreader.Send(order.to, std::move(datagram));
+    this->disseminator.Send(order.to, std::move(datagram));
   }
 }
 
 void
-MembershipService::ScheduleNews()
+MembershipService::ScheduleUpdates()
 {
-  // After what is at hand, so that a wave of notices travels in few datagrams
-  if (!std::exchange(this->newsScheduled, true)) {
-    this->loop.Post([this] { this->SendNews(); });
+  // Runs after the work already queued, so that a burst of updates is sent in few datagrams
+  if (!std::exchange(this->updatesScheduled, true)) {
+    this->loop.Post([this] { this->SendQueuedUpdates(); });
   }
 }
 
 void
-MembershipService::SendNews()
+MembershipService::SendQueuedUpdates()
 {
-  this->newsScheduled = false;
-  // Loads may wait for the next tick, states may not
-  if (this->spreader.SpreadNews() && this->endpointsHandler) {
+  this->updatesScheduled = false;
+  // Handlers of changed loads are called on the next tick, those of states immediately
+  if (this->disseminator.SendUpdates() && this->endpointsHandler) {
     this->endpointsHandler();
   }
 }
@@ -279,7 +279,7 @@
       handle->Post([this, id, aLoad] {
         this->loads.OnPolled(id, aLoad);
         this->endpointsChanged = true;
-        this->ScheduleNews();
+        this->ScheduleUpdates();
       });
     });
   }
@@ -294,38 +294,38 @@
   }
   std::atomic_store(&this->view, next);
 
-  // A daemon that leaves or is suspected hands its endpoints over
-  std::vector<PeerKey> watchers;
+  // A daemon that is leaving or suspected does not poll; its endpoints are polled by others
+  std::vector<PeerKey> pollers;
   for (const Peer& peer : next->peers) {
     if (peer.state == PeerState::Alive && peer.info.region == this->identity.self.region) {
-      watchers.push_back(peer.key);
+      pollers.push_back(peer.key);
     }
   }
-  if (this->peers.OwnState() == PeerState::Alive || watchers.empty()) {
-    watchers.push_back(this->identity.self.Key());
+  if (this->peers.OwnState() == PeerState::Alive || pollers.empty()) {
+    pollers.push_back(this->identity.self.Key());
   }
-  this->loads.SetWatchers(watchers);
-  this->ChooseHostListReaders(*next);
+  this->loads.SetPollers(pollers);
+  this->UpdateHostListReaderRole(*next);
   for (const auto& handler : this->peersHandlers) {
     handler(next);
   }
 }
 
 void
-MembershipService::ChooseHostListReaders(const PeerView& aView)
+MembershipService::UpdateHostListReaderRole(const PeerView& aView)
 {
-  // Among the best few of the region by rendezvous weight, those that leave left out
+  // The readers are the highest-ranked alive daemons of the region by rendezvous weight
   const std::uint64_t topic = HashBytes(HostListShare::kName);
-  const auto own = RendezvousWeight(topic, this->identity.self.Key());
-  const auto better = std::count_if(aView.peers.begin(), aView.peers.end(), [&](const Peer& aPeer) {
+  const auto ownWeight = RendezvousWeight(topic, this->identity.self.Key());
+  const auto higherRanked = std::count_if(aView.peers.begin(), aView.peers.end(), [&](const Peer& aPeer) {
     return aPeer.state == PeerState::Alive && aPeer.info.region == this->identity.self.region &&
-           RendezvousWeight(topic, aPeer.key) > own;
+           RendezvousWeight(topic, aPeer.key) > ownWeight;
   });
-  this->readsHostList = static_cast<std::size_t>(better) < this->settings.hostList.readers;
+  this->readsHostList = static_cast<std::size_t>(higherRanked) < this->settings.hostList.readers;
 }
 
 void
-MembershipService::TakeHosts(const std::vector<HostEntry>& aHosts)
+MembershipService::ApplyHosts(const std::vector<HostEntry>& aHosts)
 {
   this->peers.ApplyHostList(aHosts);
   std::vector<HostEntry> endpoints;
@@ -336,18 +336,18 @@
   }
   this->loads.SetEndpoints(std::move(endpoints));
   this->endpointsChanged = true;
-  this->ScheduleNews();
+  this->ScheduleUpdates();
 }
 
 bool
-MembershipService::TakeState(const SharedState& aState)
+MembershipService::ApplySharedState(const SharedState& aState)
 {
   if (aState.name != HostListShare::kName) {
     return !this->stateHandler || this->stateHandler(aState);
   }
-  const auto hosts = this->hostList.OnShared(aState);
+  const auto hosts = this->hostList.ApplyShared(aState);
   if (hosts) {
-    this->TakeHosts(hosts.value());
+    this->ApplyHosts(hosts.value());
   }
   return hosts.has_value();
 }
@@ -356,13 +356,13 @@
 MembershipService::Announce(const SharedState& aState)
 {
   this->exchange.QueueNote(aState);
-  this->ScheduleNews();
+  this->ScheduleUpdates();
 }
 
 void
-MembershipService::TakeDatagram(PeerKey aSender, const Datagram& aDatagram)
+MembershipService::HandleDatagram(PeerKey aSender, const Datagram& aDatagram)
 {
-  this->TakeNews(aSender, aDatagram);
+  this->ApplyUpdates(aSender, aDatagram);
   if (aDatagram.kind == DatagramKind::Spread) {
     this->peers.OnHeard(aSender);
     return;
@@ -372,10 +372,10 @@
   switch (aDatagram.kind) {
     case DatagramKind::Ping:
     case DatagramKind::IndirectPing:
-      this->Answer(aSender, aDatagram);
+      this->AnswerProbe(aSender, aDatagram);
       break;
     case DatagramKind::Ack:
-      this->PassOnAck(aSender);
+      this->ForwardAck(aSender);
       break;
     case DatagramKind::IndirectAck:
       this->peers.OnIndirectAck(aDatagram.subject);
@@ -386,7 +386,7 @@
 }
 
 void
-MembershipService::TakeNews(PeerKey aSender, const Datagram& aDatagram)
+MembershipService::ApplyUpdates(PeerKey aSender, const Datagram& aDatagram)
 {
   for (const PeerChange& change : aDatagram.peers) {
     this->peers.Apply(change);
@@ -402,47 +402,47 @@
     this->exchange.TakeNote(aSender, note);
   }
   if (!aDatagram.states.empty()) {
-    this->ScheduleNews();
+    this->ScheduleUpdates();
   }
 }
 
 void
-MembershipService::Answer(PeerKey aSender, const Datagram& aDatagram)
+MembershipService::AnswerProbe(PeerKey aSender, const Datagram& aDatagram)
 {
-  Datagram answer;
-  answer.nonce = aDatagram.nonce;
+  Datagram response;
+  response.nonce = aDatagram.nonce;
   if (aDatagram.kind == DatagramKind::Ping) {
-    answer.kind = DatagramKind::Ack;
-    this->spreader.Send(aSender, std::move(answer));
+    response.kind = DatagramKind::Ack;
+    this->disseminator.Send(aSender, std::move(response));
     return;
   }
-  // Probe the subject; its Ack is passed on
+  // Probe the subject; its Ack is forwarded to the requester
   if (this->peers.Find(aDatagram.subject) == nullptr) {
     return;
   }
-  auto& askers = this->indirect[aDatagram.subject];
-  std::erase_if(askers, [this](const IndirectProbe& aProbe) {
-    return this->clock.Now() - aProbe.since > kIndirectMemory;
+  auto& requesters = this->indirectProbes[aDatagram.subject];
+  std::erase_if(requesters, [this](const IndirectProbe& aProbe) {
+    return this->clock.Now() - aProbe.requestedAt > kIndirectProbeRetention;
   });
-  askers.push_back({ aSender, aDatagram.nonce, this->clock.Now() });
-  answer.kind = DatagramKind::Ping;
-  this->spreader.Send(aDatagram.subject, std::move(answer));
+  requesters.push_back({ aSender, aDatagram.nonce, this->clock.Now() });
+  response.kind = DatagramKind::Ping;
+  this->disseminator.Send(aDatagram.subject, std::move(response));
 }
 
 void
-MembershipService::PassOnAck(PeerKey aSender)
+MembershipService::ForwardAck(PeerKey aSender)
 {
-  auto node = this->indirect.extract(aSender);
+  auto node = this->indirectProbes.extract(aSender);
   if (node.empty()) {
     return;
   }
   for (const IndirectProbe& probe : node.mapped()) {
-    if (this->clock.Now() - probe.since <= kIndirectMemory) {
-      Datagram answer;
-      answer.kind = DatagramKind::IndirectAck;
-      answer.nonce = probe.nonce;
-      answer.subject = aSender;
-      this->spreader.Send(probe.asker, std::move(answer));
+    if (this->clock.Now() - probe.requestedAt <= kIndirectProbeRetention) {
+      Datagram response;
+      response.kind = DatagramKind::IndirectAck;
+      response.nonce = probe.nonce;
+      response.subject = aSender;
+      this->disseminator.Send(probe.requester, std::move(response));
     }
   }
 }
--- a/Lagoonward/Membership/MembershipService.h
+++ b/Lagoonward/Membership/MembershipService.h
@@ -20,21 +20,20 @@
 
 namespace lagoonward {
 
-/// Who this daemon is towards the others.
+/// Identity of this daemon in membership.
 struct MembershipIdentity
 {
-  PeerInfo self;             ///< Id as in the host list, peer address and port (0: any free one).
+  PeerInfo self;             ///< Id as in the host list, peer address and port (0: any free port).
   std::uint64_t session = 0; ///< Unix milliseconds of the start; higher at each start.
 };
 
-/// Membership between daemons, load and reclaim news, shared states and soft records, on one control
-/// thread. Everything that is not marked otherwise is called on that thread (see Loop()), or before
-/// Start(). Includes no HTTP: the owner injects how endpoints are polled and feeds the host list.
+/// Membership of daemons, endpoint loads and states, shared states and soft records. All of it runs on one control
+/// thread. Unless marked "Any thread", methods must be called on that thread (see Loop()) or before Start(). Contains no
+/// HTTP: the owner injects the function that polls endpoints, and passes in the host list.
 class MembershipService final : public Service
 {
 public:
-  /// Reads an endpoint's load. Called on the control thread; must not block; calls aDone once, from
-  /// any thread.
+  /// Polls the load of an endpoint. Called on the control thread; must not block; calls aDone once, from any thread.
   using PollDone = std::function<void(Result<EndpointLoad> aLoad)>;
   using PollFunction = std::function<void(const HostEntry& aEndpoint, PollDone aDone)>;
 
@@ -49,91 +48,91 @@
   /// Binds the peer address and starts the control thread.
   [[nodiscard]] Result<void> Start() override;
 
-  /// Announces that this daemon leaves. The others stop choosing it; it still answers them.
+  /// Announces that this daemon is leaving. Peers stop selecting it; it still responds to them.
   void Drain() override;
   void Stop() override;
 
-  /// The control thread, for other services that live on it.
+  /// The control thread's loop, for other services that run on it.
   [[nodiscard]] ControlLoop& Loop();
 
-  /// Messages to other daemons, for other services. Register handlers before Start().
+  /// Transport of messages between daemons, for other services. Handlers must be registered before Start().
   [[nodiscard]] PeerTransport& Transport();
 
-  /// Newest view of the other daemons. Any thread.
+  /// Latest view of the other daemons. Any thread.
   [[nodiscard]] PeerViewPtr Peers() const;
 
-  /// Address of a daemon in the newest view, or nothing. Any thread.
+  /// Address of a daemon in the latest view, or nothing. Any thread.
   [[nodiscard]] std::optional<PeerAddress> AddressOf(PeerKey aPeer) const;
 
-  /// Feeds a host list that this daemon has read: daemons to the peer table, engines and services of
-  /// this region to the load watch. A reader's list is shared with the region. Any thread.
+  /// Applies a host list that this daemon has read: daemons to the peer table, engines and services of this region to
+  /// the endpoint monitor. If this daemon is a reader, the list is shared with the region. Any thread.
   void ApplyHostList(std::vector<HostEntry> aHosts);
 
-  /// Whether this daemon reads the host list for its region. Others get it from their peers and need
-  /// to read it only seldom. True until peers are known. Any thread.
+  /// Whether this daemon reads the host list for its region. Other daemons receive it from their peers and poll it at a
+  /// long interval. True until peers are known. Any thread.
   [[nodiscard]] bool ReadsHostList() const;
 
-  /// Tells every daemon of the region that an endpoint leaves, or was ejected, or is live again. Any
-  /// thread. Sent at once.
-  /// @param aGrace  time until a leaving endpoint may vanish
+  /// Reports to every daemon of the region that an endpoint is leaving, was ejected, or is live again. Sent immediately.
+  /// Any thread.
+  /// @param aGrace  time until a leaving endpoint may terminate
   void ReportEndpoint(const std::string& aEndpointId, EndpointState aState, Milliseconds aGrace);
 
-  /// Publishes a shared state, for example a configuration read from the log, to every daemon. An
-  /// older version than the one known changes nothing. Any thread.
-  /// @param aAnnounceAfter  how long to wait before the others are told: where they read it at the same source
-  ///                        themselves, only those that cannot will then still ask for it
+  /// Publishes a shared state, for example a configuration read from the log, to every daemon. A version that is not
+  /// newer than the known one is ignored. Any thread.
+  /// @param aAnnounceAfter  delay before the version is announced. Peers that read the state from the same source in the
+  ///                        meantime do not fetch it; only peers that cannot read it will.
   void PublishState(SharedState aState, Milliseconds aAnnounceAfter = Milliseconds(0));
 
-  /// Called on the control thread for each newer shared state that a peer brought. Returning false
-  /// refuses it (malformed); it is then neither kept nor passed on.
+  /// Sets the handler for newer shared states received from peers, called on the control thread. If it returns false
+  /// (malformed), the state is neither stored nor forwarded.
   void OnState(SharedStates::Validator aHandler);
 
-  /// Called on the control thread when facts about endpoints have changed: at once for a state, at
-  /// most once a tick for loads.
+  /// Sets the handler for changed endpoint facts, called on the control thread: immediately for states, at most once per
+  /// tick for loads.
   void OnEndpoints(std::function<void()> aHandler);
 
-  /// Called on the control thread after a new peer view was published, after the handlers that were there before.
+  /// Adds a handler, called on the control thread after a new peer view was published. Handlers run in order of addition.
   void OnPeers(std::function<void(const PeerViewPtr&)> aHandler);
 
-  /// What is known of the region's endpoints.
+  /// Loads and states of the region's endpoints.
   [[nodiscard]] const LoadWatch& Loads() const;
 
-  /// Soft records that this daemon keeps for its siblings.
-  [[nodiscard]] SoftRecords& HeldRecords();
+  /// Soft records that this daemon stores for its peers.
+  [[nodiscard]] SoftRecords& StoredRecords();
 
-  /// Places a request's soft record with the sibling that rendezvous hashing names. Fire and forget.
-  /// Any thread.
+  /// Sends a request's soft record to its holder, a peer chosen by rendezvous hashing. Delivery is not confirmed. Any
+  /// thread.
   void PlaceRecord(SoftRecord aRecord);
 
-  /// Asks the siblings that may hold a key's record, one after the other. The handler gets nothing
-  /// when nobody has one. Any thread; the handler runs on the control thread.
+  /// Asks the peers that may hold a key's record, one after the other. The handler gets nothing if none has it. Any
+  /// thread; the handler runs on the control thread.
   void FindRecord(std::uint64_t aKeyHash, PeerExchange::Found aHandler);
 
-  /// Bytes and messages so far.
+  /// Bytes and messages since the start.
   [[nodiscard]] const TransportCounters& Counters() const;
 
 private:
   void Tick();
   void SendProbes();
-  void ScheduleNews();
-  void SendNews();
+  void ScheduleUpdates();
+  void SendQueuedUpdates();
   void StartPolls();
   void PublishPeers();
-  void ChooseHostListReaders(const PeerView& aView);
-  void TakeHosts(const std::vector<HostEntry>& aHosts);
-  [[nodiscard]] bool TakeState(const SharedState& aState);
+  void UpdateHostListReaderRole(const PeerView& aView);
+  void ApplyHosts(const std::vector<HostEntry>& aHosts);
+  [[nodiscard]] bool ApplySharedState(const SharedState& aState);
   void Announce(const SharedState& aState);
-  void TakeDatagram(PeerKey aSender, const Datagram& aDatagram);
-  void TakeNews(PeerKey aSender, const Datagram& aDatagram);
-  void Answer(PeerKey aSender, const Datagram& aDatagram);
-  void PassOnAck(PeerKey aSender);
+  void HandleDatagram(PeerKey aSender, const Datagram& aDatagram);
+  void ApplyUpdates(PeerKey aSender, const Datagram& aDatagram);
+  void AnswerProbe(PeerKey aSender, const Datagram& aDatagram);
+  void ForwardAck(PeerKey aSender);
 
-  /// Someone who waits for this daemon's probe of a third one.
+  /// A peer that waits for the result of this daemon's probe of a third one.
   struct IndirectProbe
   {
-    PeerKey asker = 0;
+    PeerKey requester = 0;
     std::uint32_t nonce = 0;
-    TimePoint since;
+    TimePoint requestedAt;
   };
 
   const Clock& clock;
@@ -148,17 +147,17 @@
   SharedStates states;
   SoftRecords records;
   PeerExchange exchange;
-  NewsSpreader spreader;
+  NewsSpreader disseminator;
   HostListShare hostList;
   std::atomic<bool> readsHostList{ true };
   SharedStates::Validator stateHandler;
   std::function<void()> endpointsHandler;
   std::vector<std::function<void(const PeerViewPtr&)>> peersHandlers;
   PeerViewPtr view; ///< Read and written with std::atomic_load and std::atomic_store.
-  std::unordered_map<PeerKey, std::vector<IndirectProbe>> indirect; ///< By the daemon probed.
-  TimePoint lastSpread;
+  std::unordered_map<PeerKey, std::vector<IndirectProbe>> indirectProbes; ///< By the daemon probed.
+  TimePoint lastLoadSend;
   bool endpointsChanged = false;
-  bool newsScheduled = false;
+  bool updatesScheduled = false;
 };
 
 } // namespace lagoonward
--- a/Lagoonward/Membership/MembershipSettings.h
+++ b/Lagoonward/Membership/MembershipSettings.h
@@ -34,7 +34,7 @@
   std::size_t updateFanout = 4;              ///< Peers to which a daemon sends each state change, immediately.
   Milliseconds pollInterval{ 1000 };       ///< Between two polls by one poller.
   Milliseconds loadSendInterval{ 200 };      ///< Between two rounds of load datagrams.
-  Milliseconds minimumPublishInterval{ 2000 };  ///< Shortest time between two published samples of an endpoint.
+  Milliseconds minimumPublishInterval{ 2000 };  ///< Shortest time between two samples that a poller publishes.
   Milliseconds maximumPublishInterval{ 5000 };  ///< Longest time between them, also if the load is unchanged.
   double significantChange = 0.1;             ///< Relative change at which a sample is published early.
   Milliseconds staleAfter{ 10000 };        ///< Age after which a load is stale and not used.
@@ -90,7 +90,7 @@
   Milliseconds requestTimeout{ 2000 }; ///< For a request between daemons.
   Milliseconds repairPatience{
     500
-  }; ///< A digest mismatch is repaired only if it persists for this long.
+  }; ///< A digest mismatch is repaired only after the local digest was unchanged this long.
   Milliseconds repairInterval{ 2000 }; ///< Shortest time between two repairs by full exchange.
 };
 
--- a/Lagoonward/Membership/NewsSpreader.cpp
+++ b/Lagoonward/Membership/NewsSpreader.cpp
@@ -8,15 +8,15 @@
 
 namespace {
 
-/// Room that is left for membership changes in a datagram that carries loads.
-constexpr std::size_t kChangeRoomBesideLoads = 280;
+/// Bytes reserved for membership changes in a datagram with loads.
+constexpr std::size_t kChangeBytesWithLoads = 280;
 
-/// Bytes of a datagram's fields that news does not use: header, tag, nonce, subject, digest.
+/// Bytes of the fixed fields of a datagram: header, tag, nonce, subject, digest.
 constexpr std::size_t kFixedBytes = kDatagramOverhead + 29;
 
-/// Room for membership changes behind a datagram's other news.
+/// Bytes available for membership changes after the other updates of a datagram.
 std::size_t
-RoomForChanges(const Datagram& aDatagram, std::size_t aLimit)
+BytesForChanges(const Datagram& aDatagram, std::size_t aLimit)
 {
   const std::size_t used = kFixedBytes + aDatagram.loads.size() * kLoadFactBytes +
                            aDatagram.states.size() * kStateFactBytes +
@@ -24,19 +24,19 @@
   return used >= aLimit ? 0 : aLimit - used;
 }
 
-/// Takes as many notes off the front as fit.
+/// Removes from the front as many versions as fit.
 std::vector<VersionNote>
-TakeNotes(std::span<const VersionNote>& aNotes, std::size_t aRoom)
+TakeFittingVersions(std::span<const VersionNote>& aVersions, std::size_t aBytes)
 {
-  const auto part = aNotes.first(std::min(aNotes.size(), aRoom / kVersionNoteBytes));
-  aNotes = aNotes.subspan(part.size());
-  return { part.begin(), part.end() };
+  const auto fitting = aVersions.first(std::min(aVersions.size(), aBytes / kVersionNoteBytes));
+  aVersions = aVersions.subspan(fitting.size());
+  return { fitting.begin(), fitting.end() };
 }
 
 } // namespace
 
-NewsSpreader::NewsSpreader(Parts aParts, const MembershipSettings& aSettings)
-  : parts(aParts)
+NewsSpreader::NewsSpreader(Components aComponents, const MembershipSettings& aSettings)
+  : components(aComponents)
   , settings(aSettings)
 {
 }
@@ -44,87 +44,87 @@
 void
 NewsSpreader::Send(PeerKey aPeer, Datagram aDatagram)
 {
-  const Peer* const peer = this->parts.peers.Find(aPeer);
+  const Peer* const peer = this->components.peers.Find(aPeer);
   if (peer == nullptr) {
     return;
   }
   if (aDatagram.kind != DatagramKind::Spread) {
-    aDatagram.incarnation = this->parts.peers.Incarnation();
-    aDatagram.state = this->parts.peers.OwnState();
-    aDatagram.digest = this->parts.exchange.DigestFor(aPeer);
+    aDatagram.incarnation = this->components.peers.Incarnation();
+    aDatagram.state = this->components.peers.OwnState();
+    aDatagram.digest = this->components.exchange.DigestFor(aPeer);
   }
-  const std::size_t room = RoomForChanges(aDatagram, this->settings.transport.maximumDatagram);
-  aDatagram.peers = this->parts.peers.TakeChanges(aPeer, room);
-  this->parts.transport.Send({ aPeer, peer->info.address, peer->info.port }, aDatagram);
+  const std::size_t bytes = BytesForChanges(aDatagram, this->settings.transport.maximumDatagram);
+  aDatagram.peers = this->components.peers.TakeChanges(aPeer, bytes);
+  this->components.transport.Send({ aPeer, peer->info.address, peer->info.port }, aDatagram);
 }
 
 void
-NewsSpreader::SpreadLoads()
+NewsSpreader::SendLoads()
 {
-  const auto receivers = this->parts.peers.Region().Successors(this->settings.loads.loadFanout);
+  const auto receivers = this->components.peers.Region().Successors(this->settings.loads.loadFanout);
   if (receivers.empty()) {
     return;
   }
-  const std::size_t room =
-    this->settings.transport.maximumDatagram - kFixedBytes - kChangeRoomBesideLoads;
+  const std::size_t bytes =
+    this->settings.transport.maximumDatagram - kFixedBytes - kChangeBytesWithLoads;
   Datagram datagram;
-  datagram.loads = this->parts.loads.TakeLoads(room, receivers.size());
+  datagram.loads = this->components.loads.TakeLoads(bytes, receivers.size());
   while (!datagram.loads.empty()) {
     for (const PeerKey peer : receivers) {
       this->Send(peer, datagram);
     }
-    datagram.loads = this->parts.loads.TakeLoads(room, receivers.size());
+    datagram.loads = this->components.loads.TakeLoads(bytes, receivers.size());
   }
 }
 
 bool
-NewsSpreader::SpreadNews()
+NewsSpreader::SendUpdates()
 {
-  // Endpoints are the region's own affair, as are some versions
-  const PeerExchange::Notes notes = this->parts.exchange.TakeNotes();
+  // Endpoint states and regional versions are sent within the region only
+  const PeerExchange::Notes notes = this->components.exchange.TakeNotes();
   std::vector<VersionNote> inRegion = notes.regional;
   inRegion.insert(inRegion.end(), notes.global.begin(), notes.global.end());
-  const std::size_t room = this->settings.transport.maximumDatagram - kFixedBytes;
-  std::vector<StateFact> states = this->parts.loads.TakeStates(room / kStateFactBytes);
+  const std::size_t bytes = this->settings.transport.maximumDatagram - kFixedBytes;
+  std::vector<StateFact> states = this->components.loads.TakeStates(bytes / kStateFactBytes);
   const bool hasStates = !states.empty();
-  this->SpreadInRegion(std::move(states), inRegion);
-  this->SpreadToRegions(notes.global);
+  this->SendInRegion(std::move(states), inRegion);
+  this->SendToOtherRegions(notes.global);
   return hasStates;
 }
 
 void
-NewsSpreader::SpreadOwnState()
+NewsSpreader::SendOwnState()
 {
   for (const PeerKey peer :
-       this->parts.peers.Region().Successors(this->settings.loads.updateFanout)) {
+       this->components.peers.Region().Successors(this->settings.loads.updateFanout)) {
     this->Send(peer, Datagram());
   }
 }
 
 void
-NewsSpreader::SpreadInRegion(std::vector<StateFact> aStates, std::span<const VersionNote> aNotes)
+NewsSpreader::SendInRegion(std::vector<StateFact> aStates, std::span<const VersionNote> aVersions)
 {
-  const std::size_t room = this->settings.transport.maximumDatagram - kFixedBytes;
-  const auto receivers = this->parts.peers.Region().Successors(this->settings.loads.updateFanout);
-  while (!aNotes.empty() || !aStates.empty()) {
+  const std::size_t bytes = this->settings.transport.maximumDatagram - kFixedBytes;
+  const auto receivers = this->components.peers.Region().Successors(this->settings.loads.updateFanout);
+  while (!aVersions.empty() || !aStates.empty()) {
     Datagram datagram;
     datagram.states = std::move(aStates);
-    datagram.versions = TakeNotes(aNotes, room - datagram.states.size() * kStateFactBytes);
+    datagram.versions = TakeFittingVersions(aVersions, bytes - datagram.states.size() * kStateFactBytes);
     for (const PeerKey peer : receivers) {
       this->Send(peer, datagram);
     }
-    aStates = this->parts.loads.TakeStates(room / kStateFactBytes);
+    aStates = this->components.loads.TakeStates(bytes / kStateFactBytes);
   }
 }
 
 void
-NewsSpreader::SpreadToRegions(std::span<const VersionNote> aNotes)
+NewsSpreader::SendToOtherRegions(std::span<const VersionNote> aVersions)
 {
-  const std::size_t room = this->settings.transport.maximumDatagram - kFixedBytes;
-  while (!aNotes.empty()) {
+  const std::size_t bytes = this->settings.transport.maximumDatagram - kFixedBytes;
+  while (!aVersions.empty()) {
     Datagram datagram;
-    datagram.versions = TakeNotes(aNotes, room);
-    for (const PeerKey peer : this->parts.peers.RemotePeers()) {
+    datagram.versions = TakeFittingVersions(aVersions, bytes);
+    for (const PeerKey peer : this->components.peers.RemotePeers()) {
       this->Send(peer, datagram);
     }
   }
--- a/Lagoonward/Membership/NewsSpreader.h
+++ b/Lagoonward/Membership/NewsSpreader.h
@@ -10,13 +10,12 @@
 
 namespace lagoonward {
 
-/// Sends datagrams to other daemons and fills each with the news that fits. Lives on the control
-/// thread.
+/// Sends datagrams to other daemons and fills each with the membership changes that fit. Used on the control thread only.
 class NewsSpreader
 {
 public:
-  /// The parts that it sends for. All outlive it.
-  struct Parts
+  /// References to the components whose updates it sends. They must outlive it.
+  struct Components
   {
     PeerTransport& transport;
     PeerTable& peers;
@@ -24,26 +23,26 @@
     PeerExchange& exchange;
   };
 
-  NewsSpreader(Parts aParts, const MembershipSettings& aSettings);
+  NewsSpreader(Components aComponents, const MembershipSettings& aSettings);
 
-  /// Sends one datagram, with the sender's own state and what membership changes fit.
+  /// Sends one datagram, adding this daemon's own state (except to `Spread`) and the membership changes that fit.
   void Send(PeerKey aPeer, Datagram aDatagram);
 
-  /// Passes load readings on, within their budget.
-  void SpreadLoads();
+  /// Sends queued load facts, within their byte budget.
+  void SendLoads();
 
-  /// Passes states of endpoints and versions of shared states on.
-  /// @return whether a state of an endpoint was among them
-  bool SpreadNews();
+  /// Sends queued endpoint states and versions of shared states.
+  /// @return whether an endpoint state was among them
+  bool SendUpdates();
 
-  /// Tells a few daemons of the region what is new of this one.
-  void SpreadOwnState();
+  /// Sends this daemon's own state to a few daemons of the region.
+  void SendOwnState();
 
 private:
-  void SpreadInRegion(std::vector<StateFact> aStates, std::span<const VersionNote> aNotes);
-  void SpreadToRegions(std::span<const VersionNote> aNotes);
+  void SendInRegion(std::vector<StateFact> aStates, std::span<const VersionNote> aVersions);
+  void SendToOtherRegions(std::span<const VersionNote> aVersions);
 
-  Parts parts;
+  Components components;
   const MembershipSettings& settings;
 };
 
--- a/Lagoonward/Membership/SharedStates.cpp
+++ b/Lagoonward/Membership/SharedStates.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 std::uint64_t
-NoteHash(std::uint64_t aTopic, std::int64_t aVersion)
+VersionHash(std::uint64_t aTopic, std::int64_t aVersion)
 {
   return CombineHashes(aTopic, static_cast<std::uint64_t>(aVersion));
 }
@@ -77,11 +77,11 @@
   }
   SharedState& slot = this->states[topic];
   std::uint64_t& digest = aState.IsRegional() ? this->regionalDigest : this->globalDigest;
-  // Exclusive or takes the old version out and puts the new one in, in any order of topics
+  // Exclusive or removes the old version and adds the new one, independent of the order of topics
   if (!slot.name.empty()) {
-    digest ^= NoteHash(topic, slot.version);
+    digest ^= VersionHash(topic, slot.version);
   }
-  digest ^= NoteHash(topic, aState.version);
+  digest ^= VersionHash(topic, aState.version);
   slot = std::move(aState);
   return true;
 }
--- a/Lagoonward/Membership/SharedStates.h
+++ b/Lagoonward/Membership/SharedStates.h
@@ -7,33 +7,33 @@
 
 namespace lagoonward {
 
-/// Newest version of each shared state. Versions only rise. Pure.
+/// Latest version of each shared state, by topic. Versions only increase. Performs no I/O. Not thread-safe.
 class SharedStates
 {
 public:
-  /// Whether a state from a peer is well-formed and is to be put in force.
+  /// Returns whether a state from a peer is well-formed and is applied.
   using Validator = std::function<bool(const SharedState& aState)>;
 
-  /// Checks states that peers bring. Without one every state is taken.
+  /// Sets the validator of states received from peers. Without one every state is accepted.
   void SetValidator(Validator aValidator);
 
-  /// Takes a state that this daemon has read itself. @return whether it was newer
+  /// Stores a state that this daemon has read from its source. @return whether it was newer
   bool Publish(SharedState aState);
 
-  /// Takes a state that a peer brought. @return whether it was newer and valid
+  /// Stores a state received from a peer. @return whether it was newer and valid
   bool Adopt(SharedState aState);
 
-  /// Whether a note names a version newer than the one here.
+  /// Whether a note names a version newer than the stored one.
   [[nodiscard]] bool IsNews(const VersionNote& aNote) const;
 
   /// The state of a topic, or nullptr.
   [[nodiscard]] const SharedState* Find(std::uint64_t aTopic) const;
 
   /// The versions of all topics.
-  /// @param aWithRegional  whether those that stay within the region are among them
+  /// @param aWithRegional  whether to include topics that are not sent to other regions
   [[nodiscard]] std::vector<VersionNote> Notes(bool aWithRegional) const;
 
-  /// The same on two daemons that have the same versions.
+  /// Digest of the versions. Equal on daemons that have the same ones.
   [[nodiscard]] std::uint64_t Digest(bool aWithRegional) const;
 
 private:
--- a/Lagoonward/Membership/SoftRecords.cpp
+++ b/Lagoonward/Membership/SoftRecords.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/// Best daemon of each failure domain of a region for a key, best first.
+/// Highest-ranked daemon of each failure domain of a region for a key, in order of rank.
 std::vector<const Peer*>
-BestOfEachDomain(std::uint64_t aKeyHash, std::string_view aRegion, std::span<const Peer> aPeers)
+HighestRankedOfEachDomain(std::uint64_t aKeyHash, std::string_view aRegion, std::span<const Peer> aPeers)
 {
   const auto weightOf = [&](const Peer* aPeer) { return RendezvousWeight(aKeyHash, aPeer->key); };
   std::map<std::string_view, const Peer*> best;
@@ -70,9 +70,9 @@
     return std::nullopt;
   }
   SoftRecord record = found->second.record;
-  const auto left =
+  const auto remaining =
     std::chrono::duration_cast<Milliseconds>(found->second.expiresAt - this->clock.Now());
-  record.expiresIn = static_cast<std::uint32_t>(left.count());
+  record.expiresIn = static_cast<std::uint32_t>(remaining.count());
   return record;
 }
 
@@ -104,7 +104,7 @@
 SoftRecords::HolderFor(std::uint64_t aKeyHash, const PeerInfo& aServer,
                        std::span<const Peer> aPeers)
 {
-  const auto candidates = BestOfEachDomain(aKeyHash, aServer.region, aPeers);
+  const auto candidates = HighestRankedOfEachDomain(aKeyHash, aServer.region, aPeers);
   const auto outside = std::find_if(candidates.begin(), candidates.end(), [&](const Peer* aPeer) {
     return aPeer->info.failureDomain != aServer.failureDomain;
   });
@@ -115,11 +115,11 @@
 }
 
 std::vector<PeerKey>
-SoftRecords::Holders(std::uint64_t aKeyHash, std::string_view aRegion, std::span<const Peer> aPeers,
+SoftRecords::PossibleHolders(std::uint64_t aKeyHash, std::string_view aRegion, std::span<const Peer> aPeers,
                      std::size_t aLimit)
 {
   std::vector<PeerKey> keys;
-  for (const Peer* peer : BestOfEachDomain(aKeyHash, aRegion, aPeers)) {
+  for (const Peer* peer : HighestRankedOfEachDomain(aKeyHash, aRegion, aPeers)) {
     if (keys.size() < aLimit) {
       keys.push_back(peer->key);
     }
--- a/Lagoonward/Membership/SoftRecords.h
+++ b/Lagoonward/Membership/SoftRecords.h
@@ -12,19 +12,19 @@
 
 namespace lagoonward {
 
-/// What a sibling daemon remembers of a running request, so that a caller who comes back through
-/// another daemon joins the request in place of running it again.
+/// Record of a running request, stored at a peer of the serving daemon. A caller that reconnects through another daemon
+/// can then join the running request instead of running it again.
 struct SoftRecord
 {
-  std::uint64_t keyHash = 0;  ///< Of market, client and idempotency key.
-  std::uint64_t bodyHash = 0; ///< Tells a repeated key with another body.
+  std::uint64_t keyHash = 0;  ///< Hash of market, client and idempotency key.
+  std::uint64_t bodyHash = 0; ///< Detects reuse of the key with another body.
   PeerKey server = 0;         ///< The daemon that serves the request.
   EndpointKey endpoint = 0;
-  std::string streamId;        ///< The engine's; empty until known.
-  std::uint32_t progress = 0;  ///< Tokens relayed when the record was last renewed.
-  std::uint32_t revision = 0;  ///< Rises with each renewal by the serving daemon.
-  std::uint32_t expiresIn = 0; ///< Milliseconds left; the record is void after that.
-  bool finished = false;       ///< The serving daemon keeps the whole answer.
+  std::string streamId;        ///< Assigned by the engine; empty until known.
+  std::uint32_t progress = 0;  ///< Tokens relayed when the record was last updated.
+  std::uint32_t revision = 0;  ///< Incremented with each update by the serving daemon.
+  std::uint32_t expiresIn = 0; ///< Milliseconds until the record expires.
+  bool finished = false;       ///< The serving daemon has the complete response.
 
   template<class Archive>
   void serialize(Archive& aArchive)
@@ -35,11 +35,11 @@
   }
 };
 
-/// Places a record with a sibling, or asks for the one with the same key.
+/// Request to store a record at a peer, or to read the one with the same key.
 struct RecordRequest
 {
   bool isPlacement = false;
-  SoftRecord record; ///< Only its key counts when asking.
+  SoftRecord record; ///< Only its key is used when reading.
 
   template<class Archive>
   void serialize(Archive& aArchive)
@@ -48,39 +48,39 @@
   }
 };
 
-/// Records kept for siblings. Pure; bounded by SoftRecordSettings::maximumRecords: when full, the
-/// record that expires first goes. Losing one costs a re-run, never a wrong answer: requests that
-/// may not be repeated are guarded by claims in the log.
+/// Soft records stored for peers, bounded by SoftRecordSettings::maximumRecords: when full, the record that expires first
+/// is evicted. A lost record costs a re-run, never a wrong response: requests that must not be repeated are protected by
+/// claims in the log. Performs no I/O. Not thread-safe.
 class SoftRecords
 {
 public:
   SoftRecords(const Clock& aClock, SoftRecordSettings aSettings);
 
-  /// Stores a record unless a newer revision by the same server is there. A record by another server
-  /// replaces the old one: the request has moved.
+  /// Stores a record unless a newer revision by the same server is stored. A record by another server always replaces
+  /// the stored one, because the request has moved.
   void Put(SoftRecord aRecord);
 
-  /// The record of a key, with expiresIn counted down. Nothing when unknown or expired.
+  /// The record of a key, with expiresIn as of now. Nothing if unknown or expired.
   [[nodiscard]] std::optional<SoftRecord> Find(std::uint64_t aKeyHash);
 
   void Remove(std::uint64_t aKeyHash);
 
-  /// Drops what has expired. Called from time to time by the owner.
+  /// Removes expired records. To be called periodically by the owner.
   void Sweep();
 
   [[nodiscard]] std::size_t Size() const;
 
-  /// Where the record of a key belongs: the daemon with the highest rendezvous weight among those
-  /// alive in the region and outside the serving daemon's failure domain. Falls back to the
-  /// same domain when there is no other. Every daemon computes the same holder from the same
-  /// view, except that one in another domain than the server's may have to ask two (see Holders()).
+  /// Holder of the record of a key: the daemon with the highest rendezvous weight among those that are alive in the
+  /// region and outside the serving daemon's failure domain. Falls back to the same domain if there is no other. Daemons
+  /// with the same view compute the same holder, except that one in another domain than the server's may have to ask two
+  /// (see PossibleHolders()).
   [[nodiscard]] static std::optional<PeerKey> HolderFor(std::uint64_t aKeyHash,
                                                         const PeerInfo& aServer,
                                                         std::span<const Peer> aPeers);
 
-  /// Daemons that may hold a key's record when the serving daemon is not known: the best one of
-  /// each failure domain of the region, best first, at most aLimit.
-  [[nodiscard]] static std::vector<PeerKey> Holders(std::uint64_t aKeyHash,
+  /// Daemons that may hold a key's record if the serving daemon is unknown: the highest-ranked one of each failure domain
+  /// of the region, in order of rank, at most aLimit.
+  [[nodiscard]] static std::vector<PeerKey> PossibleHolders(std::uint64_t aKeyHash,
                                                     std::string_view aRegion,
                                                     std::span<const Peer> aPeers,
                                                     std::size_t aLimit);
--- a/UnitTests/Membership/LoadWatchTests.cpp
+++ b/UnitTests/Membership/LoadWatchTests.cpp
@@ -21,7 +21,7 @@
   return hosts;
 }
 
-/// One daemon's pollState that polls every endpoint itself.
+/// The monitor of a daemon that polls every endpoint itself.
 struct Fixture
 {
   Fixture() { this->monitor.SetEndpoints(MakeEndpoints(3)); }
--- a/UnitTests/Membership/MembershipServiceTests.cpp
+++ b/UnitTests/Membership/MembershipServiceTests.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::string_view kKey =
   "1:000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f";
-constexpr Seconds kPatience{ 20 };
+constexpr Seconds kTimeout{ 20 };
 
 /// Four daemons and two endpoints on loopback.
 struct Fleet
@@ -60,7 +60,7 @@
   bool AllEventually(Condition aCondition)
   {
     constexpr Milliseconds kStep{ 10 };
-    for (Milliseconds waited{ 0 }; waited < kPatience; waited += kStep) {
+    for (Milliseconds waited{ 0 }; waited < kTimeout; waited += kStep) {
       bool all = true;
       for (const auto& daemon : this->daemons) {
         daemon->Loop().Run([&] { all = all && aCondition(*daemon); });
@@ -147,7 +147,7 @@
   BOOST_TEST(this->AllEventually([&](MembershipService&) {
     std::size_t held = 0;
     for (std::size_t index = 1; index < 4; ++index) {
-      this->daemons[index]->Loop().Run([&] { held += this->daemons[index]->HeldRecords().Size(); });
+      this->daemons[index]->Loop().Run([&] { held += this->daemons[index]->StoredRecords().Size(); });
     }
     return held == 1;
   }));
@@ -157,7 +157,7 @@
     auto found = promise.get_future();
     this->daemons[index]->FindRecord(
       12345, [&](const std::optional<SoftRecord>& aRecord) { promise.set_value(aRecord); });
-    BOOST_TEST_REQUIRE((found.wait_for(kPatience) == std::future_status::ready));
+    BOOST_TEST_REQUIRE((found.wait_for(kTimeout) == std::future_status::ready));
     const auto result = found.get();
     BOOST_TEST_REQUIRE(result.has_value());
     BOOST_TEST(result->streamId == "stream-1");
--- a/UnitTests/Membership/SoftRecordsTests.cpp
+++ b/UnitTests/Membership/SoftRecordsTests.cpp
@@ -100,7 +100,7 @@
     // the server is gone
     for (const Peer& asker : peers) {
       const auto view = Without(Without(peers, asker.key), server.key);
-      const auto candidates = SoftRecords::Holders(hash, "region", view, 3);
+      const auto candidates = SoftRecords::PossibleHolders(hash, "region", view, 3);
       const bool isAsked =
         std::find(candidates.begin(), candidates.end(), *holder) != candidates.end();
       BOOST_TEST((asker.key == *holder || isAsked));
