--- a/Lagoonward/Membership/AggregationPlan.cpp
+++ b/Lagoonward/Membership/AggregationPlan.cpp
@@ -13,7 +13,8 @@
 /// A daemon included in the plan.
 struct Participant
 {
-  std::uint64_t weight = 0; ///< Rendezvous weight for the region: a removed daemon does not change the order of the others.
+  /// Rendezvous weight for the region: a removed daemon does not change the order of the others.
+  std::uint64_t weight = 0;
   std::uint64_t group = 0;
   bool mayAggregate = true;
   PeerAddress address;
@@ -29,7 +30,7 @@
 /// The daemons included in the plan, this one first.
 std::vector<Participant>
 CollectParticipants(const PeerInfo& aSelf, bool aEligible, const PeerView& aView,
-                std::vector<std::uint64_t>& aDomains)
+                    std::vector<std::uint64_t>& aDomains)
 {
   const std::uint64_t region = HashBytes(aSelf.region);
   std::vector<Participant> all;
@@ -63,7 +64,8 @@
     const std::size_t needed = (sizes[aDomains[index]] + aMaximumGroupSize - 1) / aMaximumGroupSize;
     const std::uint64_t partitions = std::bit_ceil(needed);
     const std::uint64_t partition = aDaemons[index].address.key % partitions;
-    aDaemons[index].group = CombineHashes(aDomains[index], partitions * aMaximumGroupSize + partition);
+    aDaemons[index].group =
+      CombineHashes(aDomains[index], partitions * aMaximumGroupSize + partition);
   }
 }
 
@@ -99,14 +101,17 @@
   AggregationPlan plan;
   plan.group = daemons.front().group;
   plan.daemons = static_cast<int>(daemons.size());
-  std::sort(daemons.begin(), daemons.end(), [](const Participant& aLeft, const Participant& aRight) {
-    return aLeft.weight > aRight.weight;
-  });
+  std::sort(daemons.begin(), daemons.end(),
+            [](const Participant& aLeft, const Participant& aRight) {
+              return aLeft.weight > aRight.weight;
+            });
 
   // The highest-ranked daemons of each group are its aggregators
-  const bool isSingleGroup = std::all_of(daemons.begin(), daemons.end(),
-                                  [&](const Participant& aEach) { return aEach.group == plan.group; });
-  const std::size_t aggregatorsPerGroup = isSingleGroup ? aSettings.aggregatorsOfSingleGroup : aSettings.aggregators;
+  const bool isSingleGroup =
+    std::all_of(daemons.begin(), daemons.end(),
+                [&](const Participant& aEach) { return aEach.group == plan.group; });
+  const std::size_t aggregatorsPerGroup =
+    isSingleGroup ? aSettings.aggregatorsOfSingleGroup : aSettings.aggregators;
   std::map<std::uint64_t, std::size_t> selectedPerGroup;
   for (const Participant& each : daemons) {
     const bool isOwn = each.group == plan.group;
--- a/Lagoonward/Membership/AggregationPlan.h
+++ b/Lagoonward/Membership/AggregationPlan.h
@@ -23,14 +23,14 @@
 
 /// Assignment of daemons to aggregation groups, and of aggregators to groups. The daemons of one failure domain form a
 /// group; its highest-ranked daemons are its aggregators. Group members report their load to them and receive the sum
-/// over the deployment from them. Aggregators exchange the sums of their groups. Every daemon computes the plan from its
-/// own view of its peers, so plans differ while views differ: a receiver must not assume that the sender addressed the
-/// right aggregator.
+/// over the deployment from them. Aggregators exchange the sums of their groups. Every daemon computes the plan from
+/// its own view of its peers, so plans differ while views differ: a receiver must not assume that it is the right
+/// recipient.
 struct AggregationPlan
 {
-  std::uint64_t group = 0;         ///< Identifier of this daemon's group.
-  std::vector<PeerAddress> own;    ///< Aggregators of this daemon's group, the primary first.
-  std::vector<PeerAddress> others; ///< Aggregators of all other groups.
+  std::uint64_t group = 0;             ///< Identifier of this daemon's group.
+  std::vector<PeerAddress> own;        ///< Aggregators of this daemon's group, the primary first.
+  std::vector<PeerAddress> others;     ///< Aggregators of all other groups.
   std::vector<PeerAddress> candidates; ///< All aggregators, highest rank first.
   std::vector<PeerAddress> members;    ///< Daemons of this daemon's group, excluding itself.
   int daemons = 1;                     ///< Number of daemons in the plan, including this one.
@@ -45,7 +45,7 @@
   [[nodiscard]] int RankOf(PeerKey aDaemon) const;
 };
 
-/// Computes the plan. Sorts all daemons of the region; intended to be called once per view.
+/// Computes the plan. Takes time in proportion to the number of daemons; to be called once per view.
 /// @param aEligible  whether this daemon may be an aggregator; false while it is leaving
 [[nodiscard]] AggregationPlan
 MakeAggregationPlan(const PeerInfo& aSelf, bool aEligible, const PeerView& aView,
--- a/Lagoonward/Membership/ChangeQueue.cpp
+++ b/Lagoonward/Membership/ChangeQueue.cpp
@@ -43,7 +43,7 @@
     used += bytes;
     aTarget.push_back(std::move(*change));
 
-    // Moved to the back of the queue, so that all changes are sendCount equally often
+    // Moved to the back of the queue, so that all changes are sent equally often
     this->items.pop_front();
     if (++item.sendCount < aMaximumSends) {
       this->items.push_back(item);
--- a/Lagoonward/Membership/ChangeQueue.h
+++ b/Lagoonward/Membership/ChangeQueue.h
@@ -9,8 +9,8 @@
 
 namespace lagoonward {
 
-/// Queue of membership changes to disseminate. Each change is sendCount in a bounded number of datagrams; changes sendCount least
-/// often come first, and a datagram gets only the changes that fit. Performs no I/O. Not thread-safe.
+/// Queue of membership changes to disseminate. Each change is sent in a bounded number of datagrams; changes
+/// sent least often come first, and a datagram gets only the changes that fit. Performs no I/O. Not thread-safe.
 class ChangeQueue
 {
 public:
@@ -22,7 +22,7 @@
 
   /// Selects the changes for one datagram.
   /// @param aBytes         bytes available for changes
-  /// @param aMaximumSends  number of datagrams in which each change is sendCount
+  /// @param aMaximumSends  number of datagrams in which each change is sent
   /// @param aLookup        returns the current change record of a daemon
   /// @param aTarget        receives the changes, appended to its content
   void Take(std::size_t aBytes, std::size_t aMaximumSends, const ChangeLookup& aLookup,
--- a/Lagoonward/Membership/DelayMeter.cpp
+++ b/Lagoonward/Membership/DelayMeter.cpp
@@ -23,7 +23,8 @@
     this->windowStart = aNow;
   }
   this->windowMinimum = std::min(this->windowMinimum, difference);
-  const Milliseconds baseDelay = std::min(this->windowMinimum, this->previousMinimum.value_or(this->windowMinimum));
+  const Milliseconds baseDelay =
+    std::min(this->windowMinimum, this->previousMinimum.value_or(this->windowMinimum));
   if (difference - baseDelay > this->settings.implausibleDelay) {
     this->Restart(difference, aNow);
     return Milliseconds(0);
--- a/Lagoonward/Membership/DelayMeter.h
+++ b/Lagoonward/Membership/DelayMeter.h
@@ -9,8 +9,8 @@
 /// Tunables of a DelayMeter.
 struct DelayEstimatorSettings
 {
-  /// The minimum delay is taken over at windowMinimum this long, and at most twice as long. The minimum must expire because the
-  /// clocks of two hosts drift apart by some milliseconds per minute.
+  /// The minimum delay is taken over at least this long, and at most twice as long. The minimum must expire
+  /// because the clocks of two hosts drift apart by some milliseconds per minute.
   Milliseconds window{ 30'000 };
 
   /// A longer delay is implausible: it means that the sender's clock has restarted, and the estimate starts over.
--- a/Lagoonward/Membership/EndpointFact.cpp
+++ b/Lagoonward/Membership/EndpointFact.cpp
@@ -29,9 +29,9 @@
 } // namespace
 
 bool
-IsNewerSample(std::uint32_t aSample, std::uint32_t aKnown)
+IsNewerSample(std::uint32_t aSampledAt, std::uint32_t aKnownSampledAt)
 {
-  return static_cast<std::int32_t>(aSample - aKnown) > 0;
+  return static_cast<std::int32_t>(aSampledAt - aKnownSampledAt) > 0;
 }
 
 std::uint16_t
@@ -77,7 +77,8 @@
 bool
 DiffersSignificantly(const LoadFact& aLeft, const LoadFact& aRight, double aFraction)
 {
-  return aLeft.profile != aRight.profile || CountsDiffer(aLeft.waiting, aRight.waiting, aFraction) ||
+  return aLeft.profile != aRight.profile ||
+         CountsDiffer(aLeft.waiting, aRight.waiting, aFraction) ||
          CountsDiffer(aLeft.running, aRight.running, aFraction) ||
          std::abs(aLeft.kvUsed - aRight.kvUsed) > aFraction * kFullScale;
 }
--- a/Lagoonward/Membership/EndpointFact.h
+++ b/Lagoonward/Membership/EndpointFact.h
@@ -15,13 +15,13 @@
   EndpointState state = EndpointState::Live;
   std::uint32_t stateVersion = 0;
   std::optional<TimePoint> goneAfter; ///< End of the grace period of a leaving endpoint.
-  std::optional<LoadFact> load;       ///< Latest load. Its `age` dates from arrival; use `observedAt`.
-  TimePoint observedAt;               ///< When the load was sampled, on this daemon's clock.
-  std::optional<LoadFact> published;     ///< The newest load that was published, or is queued for it.
-  TimePoint publishedObservedAt;         ///< When that load was sampled, on this daemon's clock.
-  TimePoint publishQueuedAt;                 ///< When that load was queued for publication.
-  bool loadQueued = false;            ///< The load is queued for publication.
-  bool stateQueued = false;           ///< The state is queued for publication.
+  std::optional<LoadFact> load; ///< Latest load. Its `age` dates from arrival; use `observedAt`.
+  TimePoint observedAt;         ///< When the load was sampled, on this daemon's clock.
+  std::optional<LoadFact> published; ///< The newest load that was published, or is queued for it.
+  TimePoint publishedObservedAt;     ///< When that load was sampled, on this daemon's clock.
+  TimePoint publishQueuedAt;         ///< When that load was queued for publication.
+  bool loadQueued = false;           ///< The load is queued for publication.
+  bool stateQueued = false;          ///< The state is queued for publication.
 };
 
 /// Unit of LoadFact::age.
@@ -29,7 +29,7 @@
 
 /// Whether a load sample is newer by the endpoint's own clock. Compares 32-bit timestamps, which wrap around.
 [[nodiscard]] bool
-IsNewerSample(std::uint32_t aSample, std::uint32_t aKnown);
+IsNewerSample(std::uint32_t aSampledAt, std::uint32_t aKnownSampledAt);
 
 /// Converts an age to the unit of LoadFact::age, saturating.
 [[nodiscard]] std::uint16_t
--- a/Lagoonward/Membership/HostListPace.h
+++ b/Lagoonward/Membership/HostListPace.h
@@ -7,8 +7,8 @@
 
 namespace lagoonward {
 
-/// Computes when this daemon polls the platform's host list. The interval grows with the length of the list, because each
-/// poll transfers all of it. Daemons that receive the list from the readers of their region poll at a much longer
+/// Computes when this daemon polls the platform's host list. The interval grows with the length of the list, because
+/// each poll transfers all of it. Daemons that receive the list from the readers of their region poll at a much longer
 /// interval, as a fallback in case the readers cannot reach the platform. Performs no I/O. Not thread-safe.
 class HostListPace
 {
--- a/Lagoonward/Membership/HostListShare.cpp
+++ b/Lagoonward/Membership/HostListShare.cpp
@@ -33,7 +33,7 @@
   SerializeBytes<std::uint8_t>(aArchive, aHost.machineClass);
   SerializeBytes<std::uint8_t>(aArchive, aHost.name);
   if (kind > static_cast<std::uint8_t>(HostEntry::Kind::Service)) {
-    throw cereal::Exception("bad host kind");
+    throw cereal::Exception("invalid host kind");
   }
   aHost.kind = static_cast<HostEntry::Kind>(kind);
 }
--- a/Lagoonward/Membership/HostListShare.h
+++ b/Lagoonward/Membership/HostListShare.h
@@ -12,9 +12,9 @@
 
 namespace lagoonward {
 
-/// Distributes the platform's host list within a region, so that only a few daemons (the readers) poll it: at 1,260 hosts
-/// one response has 217 KB. A reader publishes the list as a shared state of the region, reduced to all daemons and the
-/// region's endpoints, and only when it has changed. Performs no I/O. Not thread-safe.
+/// Distributes the platform's host list within a region, so that only a few daemons (the readers) poll it: at 1,260
+/// hosts one response has 217 KB. A reader publishes the list as a shared state of the region, reduced to all daemons
+/// and the region's endpoints, and only when it has changed. Performs no I/O. Not thread-safe.
 class HostListShare
 {
 public:
@@ -35,9 +35,9 @@
   const Clock& clock;
   std::string region;
   HostListSettings settings;
-  std::uint64_t lastReadHash = 0;   ///< Of the list last read.
-  std::uint64_t sharedHash = 0; ///< Of the list last published or received.
-  bool hasUnpublishedChange = false;       ///< A list read differs from the one before and is not published yet.
+  std::uint64_t lastReadHash = 0;    ///< Of the list last read.
+  std::uint64_t sharedHash = 0;      ///< Of the list last published or received.
+  bool hasUnpublishedChange = false; ///< The list read has changed since the last publication.
   std::optional<TimePoint> publishedAt;
 };
 
--- a/Lagoonward/Membership/KeeperDirectory.h
+++ b/Lagoonward/Membership/KeeperDirectory.h
@@ -15,7 +15,8 @@
   Backup,
 };
 
-/// Holds the ownership plan (KeeperPlan) of the latest peer view, for all state that is partitioned by key. Thread-safe.
+/// Holds the ownership plan (KeeperPlan) of the latest peer view, for all state that is partitioned by key.
+/// Thread-safe.
 class KeeperDirectory
 {
 public:
@@ -30,7 +31,8 @@
   /// Role of this daemon for a key, by the latest plan.
   [[nodiscard]] KeeperRole RoleOf(std::uint64_t aKey);
 
-  /// Whether the set of daemons has not changed for the given time, so that the current owners owned their keys throughout.
+  /// Whether the set of daemons has not changed for the given time, so that the current owners owned their keys
+  /// throughout.
   [[nodiscard]] bool IsSettled(Milliseconds aDuration);
 
   /// The owners of a key except this daemon, the primary first.
--- a/Lagoonward/Membership/KeeperPlan.cpp
+++ b/Lagoonward/Membership/KeeperPlan.cpp
@@ -46,17 +46,18 @@
   if (found != this->cache.end()) {
     return found->second;
   }
-  const auto findHeaviest = [&](const Candidate* aFirst) {
+  const auto findHeaviest = [&](const Candidate* aPrimary) {
     const Candidate* best = nullptr;
     std::uint64_t bestWeight = 0;
     bool isBestInOtherDomain = false;
     for (const Candidate& each : this->daemons) {
-      if (&each == aFirst) {
+      if (&each == aPrimary) {
         continue;
       }
-      const bool isInOtherDomain = aFirst != nullptr && each.domain != aFirst->domain;
+      const bool isInOtherDomain = aPrimary != nullptr && each.domain != aPrimary->domain;
       const std::uint64_t weight = RendezvousWeight(aKey, each.address.key);
-      const bool isBetter = isInOtherDomain == isBestInOtherDomain ? weight > bestWeight : isInOtherDomain;
+      const bool isBetter =
+        isInOtherDomain == isBestInOtherDomain ? weight > bestWeight : isInOtherDomain;
       if (best == nullptr || isBetter) {
         best = &each;
         bestWeight = weight;
--- a/Lagoonward/Membership/KeeperPlan.h
+++ b/Lagoonward/Membership/KeeperPlan.h
@@ -15,9 +15,9 @@
   std::optional<PeerAddress> backup;  ///< In another failure domain if there is one.
 };
 
-/// Assigns keys to owner daemons by rendezvous hashing. Keys are distributed over all daemons, and a daemon that joins or
-/// leaves does not move the keys of others. Every daemon computes the plan from its own peer view, so plans differ while
-/// views differ. Not thread-safe.
+/// Assigns keys to owner daemons by rendezvous hashing. Keys are distributed over all daemons, and a daemon that joins
+/// or leaves does not move the keys of others. Every daemon computes the plan from its own peer view, so plans differ
+/// while views differ. Not thread-safe.
 class KeeperPlan
 {
 public:
--- a/Lagoonward/Membership/LoadWatch.cpp
+++ b/Lagoonward/Membership/LoadWatch.cpp
@@ -62,7 +62,8 @@
   const TimePoint now = this->clock.Now();
   std::vector<HostEntry> due;
   for (auto& [key, pollState] : this->pollStates) {
-    const bool isInProgress = pollState.pollStartedAt && now - *pollState.pollStartedAt < this->settings.pollTimeout;
+    const bool isInProgress =
+      pollState.pollStartedAt && now - *pollState.pollStartedAt < this->settings.pollTimeout;
     if (now < pollState.nextPoll || isInProgress) {
       continue;
     }
@@ -139,7 +140,8 @@
   }
   // Not listed yet. The grace period counts down at every hop, so such updates expire.
   const bool isPending = aFact.state == EndpointState::Leaving && aFact.graceLeft > 0 &&
-                      !this->tombstones.contains(aFact.key) && !this->pendingUpdates.contains(aFact.key);
+                         !this->tombstones.contains(aFact.key) &&
+                         !this->pendingUpdates.contains(aFact.key);
   if (isPending) {
     this->pendingUpdates[aFact.key] = { aFact, this->clock.Now() + Milliseconds(aFact.graceLeft) };
     this->queuedStates.push_back(aFact.key);
@@ -168,7 +170,7 @@
     }
   }
   this->queuedLoads.erase(this->queuedLoads.begin(),
-                         this->queuedLoads.begin() + static_cast<std::ptrdiff_t>(taken));
+                          this->queuedLoads.begin() + static_cast<std::ptrdiff_t>(taken));
   return loads;
 }
 
@@ -292,8 +294,9 @@
       continue;
     }
     // Distributes the polls of one daemon, and those of the pollers of one endpoint, over the interval
-    const auto phase = ownWeight % static_cast<std::uint64_t>(
-                               std::max<std::int64_t>(1, this->settings.pollInterval.count()));
+    const auto phase =
+      ownWeight %
+      static_cast<std::uint64_t>(std::max<std::int64_t>(1, this->settings.pollInterval.count()));
     next[key].nextPoll = now + Milliseconds(phase);
   }
   this->pollStates = std::move(next);
@@ -375,7 +378,8 @@
   std::erase_if(this->tombstones, [&](const auto& aItem) {
     return now - aItem.second > this->settings.tombstoneRetention;
   });
-  std::erase_if(this->pendingUpdates, [&](const auto& aItem) { return aItem.second.goneAfter < now; });
+  std::erase_if(this->pendingUpdates,
+                [&](const auto& aItem) { return aItem.second.goneAfter < now; });
 }
 
 bool
@@ -385,7 +389,8 @@
     return true;
   }
   const auto elapsed = this->clock.Now() - aFact.publishQueuedAt;
-  const bool isSignificant = DiffersSignificantly(*aFact.published, aSample, this->settings.significantChange);
+  const bool isSignificant =
+    DiffersSignificantly(*aFact.published, aSample, this->settings.significantChange);
   return elapsed >= this->settings.maximumPublishInterval ||
          (isSignificant && elapsed >= this->settings.minimumPublishInterval);
 }
--- a/Lagoonward/Membership/LoadWatch.h
+++ b/Lagoonward/Membership/LoadWatch.h
@@ -14,8 +14,8 @@
 namespace lagoonward {
 
 /// Tracks the load and the state (live, ejected, leaving) of the region's endpoints. Each endpoint is polled by a few
-/// daemons of its region, its pollers, chosen by rendezvous hashing. The samples are disseminated from daemon to daemon.
-/// Of two samples the one that is newer by the endpoint's own clock wins. `Leaving` is final.
+/// daemons of its region, its pollers, chosen by rendezvous hashing. The samples are disseminated from daemon to
+/// daemon. Of two samples the one that is newer by the endpoint's own clock wins. `Leaving` is final.
 ///
 /// When a poller fails, the other pollers continue. Once the peer table has removed it, the next daemon in rendezvous
 /// order replaces it. Until then samples arrive less often, which is visible in their age.
@@ -115,7 +115,7 @@
   std::unordered_map<EndpointKey, EndpointFact> facts;
   std::unordered_map<EndpointKey, PollState> pollStates;
   std::unordered_map<EndpointKey, PendingUpdate> pendingUpdates;
-  std::unordered_map<EndpointKey, TimePoint> tombstones; ///< Unlisted endpoints, with the time of removal.
+  std::unordered_map<EndpointKey, TimePoint> tombstones; ///< Unlisted endpoints: time of removal.
   std::unordered_map<std::uint32_t, EndpointProfile> profiles;
   std::vector<EndpointKey> queuedLoads; ///< Queued for dissemination, oldest first.
   std::vector<EndpointKey> queuedStates;
--- a/Lagoonward/Membership/MembershipService.cpp
+++ b/Lagoonward/Membership/MembershipService.cpp
@@ -33,9 +33,11 @@
   , lastLoadSend(aClock.Now())
 {
   this->exchange.Register();
-  this->states.SetValidator([this](const SharedState& aState) { return this->ApplySharedState(aState); });
-  this->transport.OnDatagram(
-    [this](PeerKey aSender, const Datagram& aDatagram) { this->HandleDatagram(aSender, aDatagram); });
+  this->states.SetValidator(
+    [this](const SharedState& aState) { return this->ApplySharedState(aState); });
+  this->transport.OnDatagram([this](PeerKey aSender, const Datagram& aDatagram) {
+    this->HandleDatagram(aSender, aDatagram);
+  });
 }
 
 MembershipService::~MembershipService()
@@ -115,7 +117,7 @@
 {
   this->loop.Post([this, hosts = std::move(aHosts)] {
     this->ApplyHosts(hosts);
-    // Select the readers first, as the list may name them: a daemon that has just started must not share its list
+    // The list may name the readers of the region, so select them first: a daemon that has just started shares no list
     this->PublishPeers();
     const auto shared = this->readsHostList ? this->hostList.OnRead(hosts) : std::nullopt;
     if (shared) {
@@ -211,7 +213,7 @@
   this->loop.Post([this, aKeyHash, handler = std::move(aHandler)] {
     const auto holders =
       SoftRecords::PossibleHolders(aKeyHash, this->identity.self.region, this->Peers()->peers,
-                           this->settings.softRecords.maximumLookups);
+                                   this->settings.softRecords.maximumLookups);
     this->exchange.FindRecord(aKeyHash, holders, handler);
   });
 }
@@ -317,10 +319,11 @@
   // The readers are the highest-ranked alive daemons of the region by rendezvous weight
   const std::uint64_t topic = HashBytes(HostListShare::kName);
   const auto ownWeight = RendezvousWeight(topic, this->identity.self.Key());
-  const auto higherRanked = std::count_if(aView.peers.begin(), aView.peers.end(), [&](const Peer& aPeer) {
-    return aPeer.state == PeerState::Alive && aPeer.info.region == this->identity.self.region &&
-           RendezvousWeight(topic, aPeer.key) > ownWeight;
-  });
+  const auto higherRanked =
+    std::count_if(aView.peers.begin(), aView.peers.end(), [&](const Peer& aPeer) {
+      return aPeer.state == PeerState::Alive && aPeer.info.region == this->identity.self.region &&
+             RendezvousWeight(topic, aPeer.key) > ownWeight;
+    });
   this->readsHostList = static_cast<std::size_t>(higherRanked) < this->settings.hostList.readers;
 }
 
--- a/Lagoonward/Membership/MembershipService.h
+++ b/Lagoonward/Membership/MembershipService.h
@@ -28,8 +28,8 @@
 };
 
 /// Membership of daemons, endpoint loads and states, shared states and soft records. All of it runs on one control
-/// thread. Unless marked "Any thread", methods must be called on that thread (see Loop()) or before Start(). Contains no
-/// HTTP: the owner injects the function that polls endpoints, and passes in the host list.
+/// thread. Unless marked "Any thread", methods must be called on that thread (see Loop()) or before Start(). Contains
+/// no HTTP: the owner injects the function that polls endpoints, and passes in the host list.
 class MembershipService final : public Service
 {
 public:
@@ -72,26 +72,27 @@
   /// long interval. True until peers are known. Any thread.
   [[nodiscard]] bool ReadsHostList() const;
 
-  /// Reports to every daemon of the region that an endpoint is leaving, was ejected, or is live again. Sent immediately.
-  /// Any thread.
+  /// Reports to every daemon of the region that an endpoint is leaving, was ejected, or is live again. Sent
+  /// immediately. Any thread.
   /// @param aGrace  time until a leaving endpoint may terminate
   void ReportEndpoint(const std::string& aEndpointId, EndpointState aState, Milliseconds aGrace);
 
   /// Publishes a shared state, for example a configuration read from the log, to every daemon. A version that is not
   /// newer than the known one is ignored. Any thread.
-  /// @param aAnnounceAfter  delay before the version is announced. Peers that read the state from the same source in the
-  ///                        meantime do not fetch it; only peers that cannot read it will.
+  /// @param aAnnounceAfter  delay before the version is announced. Peers that read the state from the same source in
+  ///                        the meantime do not fetch it; only peers that cannot read it will.
   void PublishState(SharedState aState, Milliseconds aAnnounceAfter = Milliseconds(0));
 
   /// Sets the handler for newer shared states received from peers, called on the control thread. If it returns false
   /// (malformed), the state is neither stored nor forwarded.
   void OnState(SharedStates::Validator aHandler);
 
-  /// Sets the handler for changed endpoint facts, called on the control thread: immediately for states, at most once per
-  /// tick for loads.
+  /// Sets the handler for changed endpoint facts, called on the control thread: immediately for states, at most once
+  /// per tick for loads.
   void OnEndpoints(std::function<void()> aHandler);
 
-  /// Adds a handler, called on the control thread after a new peer view was published. Handlers run in order of addition.
+  /// Adds a handler, called on the control thread after a new peer view was published. Handlers run in order of
+  /// addition.
   void OnPeers(std::function<void(const PeerViewPtr&)> aHandler);
 
   /// Loads and states of the region's endpoints.
--- a/Lagoonward/Membership/NewsSpreader.cpp
+++ b/Lagoonward/Membership/NewsSpreader.cpp
@@ -61,7 +61,8 @@
 void
 NewsSpreader::SendLoads()
 {
-  const auto receivers = this->components.peers.Region().Successors(this->settings.loads.loadFanout);
+  const auto receivers =
+    this->components.peers.Region().Successors(this->settings.loads.loadFanout);
   if (receivers.empty()) {
     return;
   }
@@ -105,11 +106,13 @@
 NewsSpreader::SendInRegion(std::vector<StateFact> aStates, std::span<const VersionNote> aVersions)
 {
   const std::size_t bytes = this->settings.transport.maximumDatagram - kFixedBytes;
-  const auto receivers = this->components.peers.Region().Successors(this->settings.loads.updateFanout);
+  const auto receivers =
+    this->components.peers.Region().Successors(this->settings.loads.updateFanout);
   while (!aVersions.empty() || !aStates.empty()) {
     Datagram datagram;
     datagram.states = std::move(aStates);
-    datagram.versions = TakeFittingVersions(aVersions, bytes - datagram.states.size() * kStateFactBytes);
+    datagram.versions =
+      TakeFittingVersions(aVersions, bytes - datagram.states.size() * kStateFactBytes);
     for (const PeerKey peer : receivers) {
       this->Send(peer, datagram);
     }
--- a/Lagoonward/Membership/NewsSpreader.h
+++ b/Lagoonward/Membership/NewsSpreader.h
@@ -10,7 +10,8 @@
 
 namespace lagoonward {
 
-/// Sends datagrams to other daemons and fills each with the membership changes that fit. Used on the control thread only.
+/// Sends datagrams to other daemons and fills each with the membership changes that fit. Used on the control thread
+/// only.
 class NewsSpreader
 {
 public:
@@ -25,7 +26,7 @@
 
   NewsSpreader(Components aComponents, const MembershipSettings& aSettings);
 
-  /// Sends one datagram, adding this daemon's own state (except to `Spread`) and the membership changes that fit.
+  /// Sends one datagram, adding this daemon's own state (except for kind `Spread`) and the membership changes that fit.
   void Send(PeerKey aPeer, Datagram aDatagram);
 
   /// Sends queued load facts, within their byte budget.
--- a/Lagoonward/Membership/SoftRecords.cpp
+++ b/Lagoonward/Membership/SoftRecords.cpp
@@ -8,7 +8,8 @@
 
 /// Highest-ranked daemon of each failure domain of a region for a key, in order of rank.
 std::vector<const Peer*>
-HighestRankedOfEachDomain(std::uint64_t aKeyHash, std::string_view aRegion, std::span<const Peer> aPeers)
+HighestRankedOfEachDomain(std::uint64_t aKeyHash, std::string_view aRegion,
+                          std::span<const Peer> aPeers)
 {
   const auto weightOf = [&](const Peer* aPeer) { return RendezvousWeight(aKeyHash, aPeer->key); };
   std::map<std::string_view, const Peer*> best;
@@ -115,8 +116,8 @@
 }
 
 std::vector<PeerKey>
-SoftRecords::PossibleHolders(std::uint64_t aKeyHash, std::string_view aRegion, std::span<const Peer> aPeers,
-                     std::size_t aLimit)
+SoftRecords::PossibleHolders(std::uint64_t aKeyHash, std::string_view aRegion,
+                             std::span<const Peer> aPeers, std::size_t aLimit)
 {
   std::vector<PeerKey> keys;
   for (const Peer* peer : HighestRankedOfEachDomain(aKeyHash, aRegion, aPeers)) {
--- a/Lagoonward/Membership/SoftRecords.h
+++ b/Lagoonward/Membership/SoftRecords.h
@@ -48,9 +48,9 @@
   }
 };
 
-/// Soft records stored for peers, bounded by SoftRecordSettings::maximumRecords: when full, the record that expires first
-/// is evicted. A lost record costs a re-run, never a wrong response: requests that must not be repeated are protected by
-/// claims in the log. Performs no I/O. Not thread-safe.
+/// Soft records stored for peers, bounded by SoftRecordSettings::maximumRecords: when full, the record that expires
+/// first is evicted. A lost record costs a re-run, never a wrong response: requests that must not be repeated are
+/// protected by claims in the log. Performs no I/O. Not thread-safe.
 class SoftRecords
 {
 public:
@@ -71,19 +71,19 @@
   [[nodiscard]] std::size_t Size() const;
 
   /// Holder of the record of a key: the daemon with the highest rendezvous weight among those that are alive in the
-  /// region and outside the serving daemon's failure domain. Falls back to the same domain if there is no other. Daemons
-  /// with the same view compute the same holder, except that one in another domain than the server's may have to ask two
-  /// (see PossibleHolders()).
+  /// region and outside the serving daemon's failure domain. Falls back to the same domain if there is no other.
+  /// Daemons with the same view compute the same holder, except that one in another domain than the server's may have
+  /// to ask two (see PossibleHolders()).
   [[nodiscard]] static std::optional<PeerKey> HolderFor(std::uint64_t aKeyHash,
                                                         const PeerInfo& aServer,
                                                         std::span<const Peer> aPeers);
 
-  /// Daemons that may hold a key's record if the serving daemon is unknown: the highest-ranked one of each failure domain
-  /// of the region, in order of rank, at most aLimit.
+  /// Daemons that may hold a key's record if the serving daemon is unknown: the highest-ranked one of each failure
+  /// domain of the region, in order of rank, at most aLimit.
   [[nodiscard]] static std::vector<PeerKey> PossibleHolders(std::uint64_t aKeyHash,
-                                                    std::string_view aRegion,
-                                                    std::span<const Peer> aPeers,
-                                                    std::size_t aLimit);
+                                                            std::string_view aRegion,
+                                                            std::span<const Peer> aPeers,
+                                                            std::size_t aLimit);
 
 private:
   struct Entry
--- a/UnitTests/Membership/AggregationPlanTests.cpp
+++ b/UnitTests/Membership/AggregationPlanTests.cpp
@@ -19,7 +19,7 @@
            "domain-" + std::to_string(aIndex % aDomains), "region" };
 }
 
-/// All but one daemon, as that one sees them.
+/// Peer view of one daemon: all daemons but itself.
 PeerView
 ViewOf(int aSelf, int aDaemons, int aDomains)
 {
@@ -43,38 +43,39 @@
 
 BOOST_AUTO_TEST_SUITE(AggregationPlanTests)
 
-/// Load pattern: a fleet of any size in six failure domains, each daemon with its own view. Grounds: an aggregator
-/// answers its group's reports, so a group has a bound, and all of a group must agree on who sums.
-BOOST_DATA_TEST_CASE(GroupsAreBoundedAndAgreeOnTheirAggregators,
+/// Load pattern: fleets of several sizes in six failure domains, each daemon with its own view. Guards against
+/// oversized groups, as an aggregator answers all reports of its group, and against members that disagree on the
+/// primary aggregator.
+BOOST_DATA_TEST_CASE(GroupSizeIsBoundedAndMembersAgreeOnTheAggregators,
                      boost::unit_test::data::make({ 20, 100, 300, 600 }), daemons)
 {
   constexpr int kDomains = 6;
-  std::map<std::uint64_t, std::set<PeerKey>> firsts;
+  std::map<std::uint64_t, std::set<PeerKey>> primaries;
   std::map<std::uint64_t, std::size_t> sizes;
   for (int self = 0; self < daemons; ++self) {
     const AggregationPlan plan = PlanOf(self, daemons, kDomains);
     BOOST_REQUIRE(!plan.own.empty());
-    firsts[plan.group].insert(plan.own.front().key);
+    primaries[plan.group].insert(plan.own.front().key);
     ++sizes[plan.group];
     BOOST_TEST(plan.members.size() < 2 * AggregationSettings{}.maximumGroupSize);
     BOOST_TEST(plan.own.size() + plan.others.size() == plan.candidates.size());
     BOOST_TEST(plan.daemons == daemons);
   }
-  for (const auto& [group, chosen] : firsts) {
+  for (const auto& [group, chosen] : primaries) {
     BOOST_TEST(chosen.size() == 1U);
   }
-  BOOST_TEST(firsts.size() >= static_cast<std::size_t>(kDomains));
-  BOOST_TEST(firsts.size() <= static_cast<std::size_t>(kDomains) * 2);
+  BOOST_TEST(primaries.size() >= static_cast<std::size_t>(kDomains));
+  BOOST_TEST(primaries.size() <= static_cast<std::size_t>(kDomains) * 2);
 }
 
-BOOST_AUTO_TEST_CASE(OneFailureDomainAloneHasThreeThatMayLead)
+BOOST_AUTO_TEST_CASE(SingleGroupHasThreeAggregators)
 {
   const AggregationPlan plan = PlanOf(0, 8, 1);
   BOOST_TEST(plan.own.size() == 3U);
   BOOST_TEST(plan.others.empty());
 }
 
-BOOST_AUTO_TEST_CASE(ADaemonThatLeavesIsNoAggregator)
+BOOST_AUTO_TEST_CASE(LeavingDaemonIsNotAnAggregatorInItsOwnPlan)
 {
   const PeerInfo self = Daemon(0, 1);
   const AggregationPlan plan = MakeAggregationPlan(self, false, ViewOf(0, 3, 1), {});
@@ -82,7 +83,7 @@
   BOOST_TEST(plan.RankOf(self.Key()) == 2);
 }
 
-BOOST_AUTO_TEST_CASE(OneThatLeavesOrIsSuspectedIsChosenByNobody)
+BOOST_AUTO_TEST_CASE(LeavingOrSuspectedPeerIsNotAnAggregator)
 {
   PeerView view = ViewOf(0, 8, 1);
   view.peers.at(2).state = PeerState::Leaving;
@@ -93,9 +94,9 @@
   BOOST_TEST(plan.daemons == 6);
 }
 
-/// Load pattern: a deployment starts, and some know of others by the seeds of their settings only. Grounds: such daemons
-/// were taken for a failure domain of their own, in which nobody summed, and their usage was never told.
-BOOST_AUTO_TEST_CASE(OneKnownByItsAddressOnlyHasNoGroupYet)
+/// Load pattern: a deployment starts, and some daemons know peers only by the seeds in their settings. Guards against
+/// treating such peers as a failure domain of their own: it had no aggregator, and their usage was never reported.
+BOOST_AUTO_TEST_CASE(PeerKnownOnlyByAddressIsNotInThePlan)
 {
   PeerView view = ViewOf(0, 8, 2);
   for (Peer& peer : view.peers) {
--- a/UnitTests/Membership/DelayMeterTests.cpp
+++ b/UnitTests/Membership/DelayMeterTests.cpp
@@ -6,17 +6,17 @@
 
 namespace {
 
-/// Two hosts whose clocks began at different times.
+/// A sender and a receiver whose monotonic clocks have different epochs.
 struct Hosts
 {
-  /// A message is sent now and arrives after a delay, as the receiver measures it.
+  /// Sends a message that arrives after aDelay. @return the estimate of the receiver
   Milliseconds Pass(Milliseconds aDelay)
   {
     const Milliseconds sentAt = this->now + this->offset;
-    return this->meter.OnMessage(sentAt, TimePoint(this->now + aDelay));
+    return this->estimator.OnMessage(sentAt, TimePoint(this->now + aDelay));
   }
 
-  DelayMeter meter;
+  DelayMeter estimator;
   Milliseconds now{ 100'000 };
   Milliseconds offset{ 7'000'000 }; ///< The sender's clock is ahead by this.
 };
@@ -25,7 +25,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(DelayMeterTests, Hosts)
 
-BOOST_AUTO_TEST_CASE(TellsHowMuchLongerThanTheQuickestAMessageTook)
+BOOST_AUTO_TEST_CASE(EstimateIsTheDelayBeyondThatOfTheFastestMessage)
 {
   BOOST_TEST((this->Pass(Milliseconds(5)) == Milliseconds(0)));
   this->now += Seconds(1);
@@ -36,10 +36,10 @@
   BOOST_TEST((this->Pass(Milliseconds(5)) == Milliseconds(3)));
 }
 
-BOOST_AUTO_TEST_CASE(ForgetsTheQuickestAsClocksDrift)
+BOOST_AUTO_TEST_CASE(MinimumDelayExpiresWhenClocksDrift)
 {
   BOOST_TEST((this->Pass(Milliseconds(5)) == Milliseconds(0)));
-  // The sender's clock has fallen behind by 50 ms, for good
+  // The sender's clock permanently falls behind by 50 ms
   this->offset -= Milliseconds(50);
   Milliseconds last{ 0 };
   for (int second = 0; second < 70; ++second) {
@@ -49,7 +49,7 @@
   BOOST_TEST((last == Milliseconds(0)));
 }
 
-BOOST_AUTO_TEST_CASE(ASenderWhoseClockBeganAnewIsMeasuredAnew)
+BOOST_AUTO_TEST_CASE(EstimateStartsOverWhenTheSenderClockRestarts)
 {
   BOOST_TEST((this->Pass(Milliseconds(5)) == Milliseconds(0)));
   this->offset = Milliseconds(-90'000);
--- a/UnitTests/Membership/HostListPaceTests.cpp
+++ b/UnitTests/Membership/HostListPaceTests.cpp
@@ -6,22 +6,22 @@
 
 BOOST_AUTO_TEST_SUITE(HostListPaceTests)
 
-BOOST_AUTO_TEST_CASE(ShortListsAreReadOftenAndLongOnesWithinTheBudget)
+BOOST_AUTO_TEST_CASE(PollIntervalGrowsWithTheListAndIsLongerForNonReaders)
 {
   const TimePoint start{};
-  HostListPace pace{ HostListSettings() };
-  BOOST_TEST(pace.IsDue(start, true));
-  BOOST_TEST(pace.IsDue(start, false));
-  pace.OnRead(start, 24);
-  BOOST_TEST(!pace.IsDue(start + Milliseconds(999), true));
-  BOOST_TEST(pace.IsDue(start + Seconds(1), true));
-  BOOST_TEST(!pace.IsDue(start + Seconds(5), false));
-  BOOST_TEST(pace.IsDue(start + Seconds(6), false));
-  pace.OnRead(start, 1260);
-  BOOST_TEST(!pace.IsDue(start + Seconds(20), true));
-  BOOST_TEST(pace.IsDue(start + Seconds(21), true));
-  BOOST_TEST(!pace.IsDue(start + Seconds(300), false));
-  BOOST_TEST(pace.IsDue(start + Seconds(303), false));
+  HostListPace interval{ HostListSettings() };
+  BOOST_TEST(interval.IsDue(start, true));
+  BOOST_TEST(interval.IsDue(start, false));
+  interval.OnRead(start, 24);
+  BOOST_TEST(!interval.IsDue(start + Milliseconds(999), true));
+  BOOST_TEST(interval.IsDue(start + Seconds(1), true));
+  BOOST_TEST(!interval.IsDue(start + Seconds(5), false));
+  BOOST_TEST(interval.IsDue(start + Seconds(6), false));
+  interval.OnRead(start, 1260);
+  BOOST_TEST(!interval.IsDue(start + Seconds(20), true));
+  BOOST_TEST(interval.IsDue(start + Seconds(21), true));
+  BOOST_TEST(!interval.IsDue(start + Seconds(300), false));
+  BOOST_TEST(interval.IsDue(start + Seconds(303), false));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/UnitTests/Membership/HostListShareTests.cpp
+++ b/UnitTests/Membership/HostListShareTests.cpp
@@ -28,16 +28,16 @@
 struct Fixture
 {
   VirtualClock clock;
-  HostListShare share{ this->clock, "here", HostListSettings() };
+  HostListShare distribution{ this->clock, "here", HostListSettings() };
 };
 
 } // namespace
 
 BOOST_FIXTURE_TEST_SUITE(HostListShareTests, Fixture)
 
-BOOST_AUTO_TEST_CASE(ListComesBackWithoutOtherRegionsEndpoints)
+BOOST_AUTO_TEST_CASE(SharedListOmitsEndpointsOfOtherRegions)
 {
-  const auto state = this->share.OnRead(MakeHosts());
+  const auto state = this->distribution.OnRead(MakeHosts());
   BOOST_TEST_REQUIRE(state.has_value());
   BOOST_TEST(state->IsRegional());
   HostListShare other(this->clock, "here", HostListSettings());
@@ -48,39 +48,39 @@
   BOOST_TEST(hosts.value().back().port == 4000);
 }
 
-BOOST_AUTO_TEST_CASE(OnlyChangesArePublishedAndNotTooOften)
+BOOST_AUTO_TEST_CASE(OnlyChangedListsArePublishedAndAtMostOncePerInterval)
 {
   auto hosts = MakeHosts();
-  BOOST_TEST(this->share.OnRead(hosts).has_value());
+  BOOST_TEST(this->distribution.OnRead(hosts).has_value());
   std::reverse(hosts.begin(), hosts.end());
-  BOOST_TEST(!this->share.OnRead(hosts).has_value());
+  BOOST_TEST(!this->distribution.OnRead(hosts).has_value());
   hosts.back().leaving = true;
   this->clock.Advance(Seconds(1));
-  BOOST_TEST(!this->share.OnRead(hosts).has_value());
+  BOOST_TEST(!this->distribution.OnRead(hosts).has_value());
   this->clock.Advance(Seconds(4));
-  BOOST_TEST(this->share.OnRead(hosts).has_value());
+  BOOST_TEST(this->distribution.OnRead(hosts).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(ReaderWithAnOlderListDoesNotTakeTheNewerOneBack)
+BOOST_AUTO_TEST_CASE(ReaderWithAnOlderListDoesNotReplaceANewerSharedList)
 {
   HostListShare ahead(this->clock, "here", HostListSettings());
   const auto old = MakeHosts();
   auto next = old;
   next.push_back(MakeHost("engine-9", HostEntry::Kind::Engine, "here"));
-  BOOST_TEST(this->share.OnRead(old).has_value());
-  BOOST_TEST(this->share.ApplyShared(*ahead.OnRead(next)).has_value());
+  BOOST_TEST(this->distribution.OnRead(old).has_value());
+  BOOST_TEST(this->distribution.ApplyShared(*ahead.OnRead(next)).has_value());
   for (int second = 0; second < 20; ++second) {
     this->clock.Advance(Seconds(1));
-    BOOST_TEST(!this->share.OnRead(old).has_value());
+    BOOST_TEST(!this->distribution.OnRead(old).has_value());
   }
-  BOOST_TEST(!this->share.OnRead(next).has_value());
+  BOOST_TEST(!this->distribution.OnRead(next).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(MalformedListIsRefused)
+BOOST_AUTO_TEST_CASE(MalformedSharedListIsRejected)
 {
-  auto state = *this->share.OnRead(MakeHosts());
+  auto state = *this->distribution.OnRead(MakeHosts());
   state.bytes.pop_back();
-  BOOST_TEST(!this->share.ApplyShared(state).has_value());
+  BOOST_TEST(!this->distribution.ApplyShared(state).has_value());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/UnitTests/Membership/KeeperPlanTests.cpp
+++ b/UnitTests/Membership/KeeperPlanTests.cpp
@@ -21,7 +21,7 @@
            "domain-" + std::to_string(aIndex % kDomains), "region" };
 }
 
-/// All daemons but one, as that one sees them.
+/// Peer view of one daemon: all daemons but itself.
 PeerView
 ViewOf(int aSelf, int aDaemons)
 {
@@ -45,7 +45,7 @@
 
 BOOST_AUTO_TEST_SUITE(KeeperPlanTests)
 
-BOOST_DATA_TEST_CASE(AllDaemonsAgreeOnTwoHoldersInTwoFailureDomains,
+BOOST_DATA_TEST_CASE(AllDaemonsAgreeOnTwoOwnersInTwoFailureDomains,
                      boost::unit_test::data::make({ 2, 6, 100 }), daemons)
 {
   std::map<PeerKey, std::uint64_t> domains;
@@ -56,16 +56,16 @@
     std::set<std::pair<PeerKey, PeerKey>> seen;
     for (int self = 0; self < daemons; ++self) {
       KeeperPlan plan(Daemon(self), true, ViewOf(self, daemons));
-      const Keepers& holders = plan.KeepersOf(Client(client));
-      BOOST_REQUIRE(holders.primary && holders.backup);
-      seen.emplace(holders.primary->key, holders.backup->key);
-      BOOST_TEST(domains[holders.primary->key] != domains[holders.backup->key]);
+      const Keepers& owners = plan.KeepersOf(Client(client));
+      BOOST_REQUIRE(owners.primary && owners.backup);
+      seen.emplace(owners.primary->key, owners.backup->key);
+      BOOST_TEST(domains[owners.primary->key] != domains[owners.backup->key]);
     }
     BOOST_TEST(seen.size() == 1U);
   }
 }
 
-BOOST_AUTO_TEST_CASE(ClientsSpreadOverTheDaemonsAndStayWhereTheyAre)
+BOOST_AUTO_TEST_CASE(KeysAreDistributedAndFewMoveWhenADaemonJoins)
 {
   constexpr int kDaemons = 20;
   constexpr int kClients = 400;
@@ -82,7 +82,7 @@
   BOOST_TEST(moved <= 3 * kClients / kDaemons);
 }
 
-BOOST_AUTO_TEST_CASE(WhoLeavesOrIsKnownByAddressOnlyKeepsNothing)
+BOOST_AUTO_TEST_CASE(LeavingDaemonsAndPeersKnownOnlyByAddressOwnNoKeys)
 {
   PeerView view = ViewOf(0, 3);
   view.peers[0].state = PeerState::Leaving;
@@ -94,7 +94,7 @@
   BOOST_TEST(!leaving.KeepersOf(Client(0)).primary.has_value());
 }
 
-BOOST_AUTO_TEST_CASE(ABackupStandsInTheSameDomainWhereThereIsNoOther)
+BOOST_AUTO_TEST_CASE(BackupIsInTheSameFailureDomainIfThereIsNoOther)
 {
   PeerView view;
   const PeerInfo near = Daemon(kDomains);
--- a/UnitTests/Membership/LoadWatchTests.cpp
+++ b/UnitTests/Membership/LoadWatchTests.cpp
@@ -50,7 +50,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(LoadWatchTests, Fixture)
 
-BOOST_AUTO_TEST_CASE(EveryEndpointHasItsWatchersAndADeadOneIsReplaced)
+BOOST_AUTO_TEST_CASE(EveryEndpointHasTwoPollersAndARemovedOneIsReplaced)
 {
   std::vector<PeerKey> daemons{ 1, 2, 3, 4, 5, 6, 7, 8 };
   const auto countPollers = [&] {
@@ -82,7 +82,7 @@
   BOOST_TEST(polls <= 33U);
 }
 
-BOOST_AUTO_TEST_CASE(PollThatNeverEndsIsNotRepeatedAtOnce)
+BOOST_AUTO_TEST_CASE(UnfinishedPollIsRepeatedOnlyAfterItsTimeout)
 {
   this->clock.Advance(Seconds(1));
   BOOST_TEST(this->monitor.DuePolls().size() == 3U);
@@ -92,7 +92,7 @@
   BOOST_TEST(this->monitor.DuePolls().size() == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(ReadingTravelsWithItsAge)
+BOOST_AUTO_TEST_CASE(LoadIsDisseminatedWithItsAge)
 {
   LoadWatch other(this->clock, 2, LoadWatchSettings());
   other.SetEndpoints(MakeEndpoints(3));
@@ -115,7 +115,7 @@
   BOOST_TEST((load->asOf == this->clock.WallNow() - Milliseconds(300)));
 }
 
-BOOST_AUTO_TEST_CASE(OlderReadingNeverReplacesANewerOne)
+BOOST_AUTO_TEST_CASE(OlderLoadDoesNotReplaceANewerOne)
 {
   LoadFact newer{ ToEndpointKey("engine-0"), 1000, 0, 0, 5, 0, 1 };
   LoadFact older{ ToEndpointKey("engine-0"), 900, 0, 0, 9, 0, 1 };
@@ -123,14 +123,14 @@
   BOOST_TEST(!this->monitor.Merge(older));
   BOOST_TEST(this->Fact("engine-0").load->running == 5);
 
-  // The endpoint's clock wraps in its low 32 bits
+  // The low 32 bits of the endpoint's clock wrap around
   const LoadFact last{ ToEndpointKey("engine-1"), 0xfffffff0U, 0, 0, 1, 0, 1 };
   const LoadFact wrapped{ ToEndpointKey("engine-1"), 5, 0, 0, 2, 0, 1 };
   BOOST_TEST(this->monitor.Merge(last));
   BOOST_TEST(this->monitor.Merge(wrapped));
 }
 
-BOOST_AUTO_TEST_CASE(StaleLoadIsNotGivenOut)
+BOOST_AUTO_TEST_CASE(StaleLoadIsNotReturned)
 {
   this->monitor.OnPolled("engine-0", this->Reading(3));
   BOOST_TEST(this->monitor.LoadOf(this->Fact("engine-0")).has_value());
@@ -138,7 +138,7 @@
   BOOST_TEST(!this->monitor.LoadOf(this->Fact("engine-0")).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(SmallChangesWaitAndLargeOnesDoNotExceedTheirRate)
+BOOST_AUTO_TEST_CASE(SmallChangesWaitForTheMaximumIntervalAndLargeOnesForTheMinimum)
 {
   const auto poll = [&](int aRunning) {
     this->clock.Advance(Seconds(1));
@@ -155,7 +155,7 @@
   BOOST_TEST(poll(81) == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(SpreadingStaysWithinItsBudget)
+BOOST_AUTO_TEST_CASE(DisseminationStaysWithinItsByteBudget)
 {
   this->monitor.SetEndpoints(MakeEndpoints(5000));
   std::size_t bytes = 0;
@@ -173,7 +173,7 @@
   BOOST_TEST(bytes >= 9 * LoadWatchSettings().loadBytesPerSecond);
 }
 
-BOOST_AUTO_TEST_CASE(LeavingIsFinalAndNeedsNoHostList)
+BOOST_AUTO_TEST_CASE(LeavingIsFinalAndAcceptedBeforeTheHostListNamesTheEndpoint)
 {
   BOOST_TEST(this->monitor.Report("engine-0", EndpointState::Leaving, Seconds(30)));
   BOOST_TEST(!this->monitor.Report("engine-0", EndpointState::Leaving, Seconds(30)));
@@ -184,14 +184,14 @@
     !this->monitor.Merge(StateFact{ ToEndpointKey("engine-0"), EndpointState::Live, 99, 0 }));
   BOOST_TEST((this->Fact("engine-0").state == EndpointState::Leaving));
 
-  // Ahead of the list: passed on, and in force once the list names the endpoint
+  // Not listed yet: disseminated, and applied once the list names the endpoint
   BOOST_TEST(this->monitor.Report("engine-9", EndpointState::Leaving, Seconds(30)));
   BOOST_TEST(this->monitor.TakeStates(10).size() == 1U);
   this->monitor.SetEndpoints(MakeEndpoints(10));
   BOOST_TEST((this->Fact("engine-9").state == EndpointState::Leaving));
 }
 
-BOOST_AUTO_TEST_CASE(NewsOfAnUnlistedEndpointDiesOut)
+BOOST_AUTO_TEST_CASE(UpdateOfAnUnlistedEndpointIsNotDisseminated)
 {
   BOOST_TEST(this->monitor.Report("engine-0", EndpointState::Leaving, Seconds(30)));
   const StateFact fact = this->monitor.TakeStates(1).front();
@@ -200,7 +200,7 @@
   BOOST_TEST(this->monitor.TakeStates(10).empty());
 }
 
-BOOST_AUTO_TEST_CASE(SilentEndpointIsEjectedAndComesBackWhenItAnswers)
+BOOST_AUTO_TEST_CASE(UnresponsiveEndpointIsEjectedAndRestoredWhenItResponds)
 {
   const Error refused(ErrorKind::EndpointFailed, "no connection");
   this->monitor.OnPolled("engine-0", refused);
@@ -212,7 +212,7 @@
   BOOST_TEST((this->Fact("engine-0").state == EndpointState::Live));
 }
 
-BOOST_AUTO_TEST_CASE(EndpointThatAnotherWatcherReadsIsNotEjected)
+BOOST_AUTO_TEST_CASE(EndpointThatAnotherPollerReadsIsNotEjected)
 {
   const Error refused(ErrorKind::EndpointFailed, "no connection");
   for (int round = 0; round < 10; ++round) {
@@ -224,7 +224,7 @@
   BOOST_TEST((this->Fact("engine-0").state == EndpointState::Live));
 }
 
-BOOST_AUTO_TEST_CASE(DigestsAgreeExactlyWhenStatesDo)
+BOOST_AUTO_TEST_CASE(DigestsAreEqualIfAndOnlyIfStatesAre)
 {
   LoadWatch other(this->clock, 2, LoadWatchSettings());
   other.SetEndpoints(MakeEndpoints(3));
--- a/UnitTests/Membership/MembershipServiceTests.cpp
+++ b/UnitTests/Membership/MembershipServiceTests.cpp
@@ -55,7 +55,7 @@
     }
   }
 
-  /// Waits until every daemon satisfies the condition, looked at on its control thread.
+  /// Waits until every daemon satisfies the condition, evaluated on its control thread.
   template<typename Condition>
   bool AllEventually(Condition aCondition)
   {
@@ -82,7 +82,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(MembershipServiceTests, Fleet)
 
-BOOST_AUTO_TEST_CASE(LoadsAndReclaimNewsReachEveryDaemon)
+BOOST_AUTO_TEST_CASE(LoadsAndLeavingStatesReachEveryDaemon)
 {
   BOOST_TEST(this->AllEventually([](const MembershipService& aDaemon) {
     const auto& facts = aDaemon.Loads().Facts();
@@ -96,7 +96,7 @@
   }));
 }
 
-BOOST_AUTO_TEST_CASE(NewDaemonTakesTheStateInForceFromItsPeers)
+BOOST_AUTO_TEST_CASE(NewDaemonAdoptsTheLatestSharedStateFromItsPeers)
 {
   std::atomic<std::int64_t> adopted{ -1 };
   this->daemons[0]->PublishState({ "config/market", 41, "forty-one" });
@@ -113,7 +113,7 @@
   BOOST_TEST(this->AllEventually([&](const MembershipService&) { return adopted == 42; }));
 }
 
-BOOST_AUTO_TEST_CASE(AStateThatAllReadThemselvesIsFetchedByNobody)
+BOOST_AUTO_TEST_CASE(SharedStateIsFetchedOnlyByDaemonsThatDidNotReadIt)
 {
   std::atomic<int> fetched{ 0 };
   for (const auto& daemon : this->daemons) {
@@ -126,7 +126,7 @@
   }
   BOOST_TEST(this->AllEventually(
     [](const MembershipService& aDaemon) { return aDaemon.Peers()->peers.size() == 3; }));
-  // All but one read it within less than the delay; that one gets it from a peer
+  // All daemons but one publish the state before the announcement delay ends; that one fetches it from a peer
   for (std::size_t index = 0; index < 3; ++index) {
     this->daemons[index]->PublishState({ "config/market", 42, "forty-two" }, Milliseconds(300));
   }
@@ -135,7 +135,7 @@
   BOOST_TEST(fetched == 1);
 }
 
-BOOST_AUTO_TEST_CASE(SoftRecordIsFoundThroughAnyDaemonAfterItsServerDied)
+BOOST_AUTO_TEST_CASE(SoftRecordIsFoundThroughAnyDaemonAfterItsServerStopped)
 {
   BOOST_TEST(this->AllEventually(
     [](const MembershipService& aDaemon) { return aDaemon.Peers()->peers.size() == 3; }));
@@ -147,7 +147,8 @@
   BOOST_TEST(this->AllEventually([&](MembershipService&) {
     std::size_t held = 0;
     for (std::size_t index = 1; index < 4; ++index) {
-      this->daemons[index]->Loop().Run([&] { held += this->daemons[index]->StoredRecords().Size(); });
+      this->daemons[index]->Loop().Run(
+        [&] { held += this->daemons[index]->StoredRecords().Size(); });
     }
     return held == 1;
   }));
@@ -164,14 +165,14 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(HostListOfTheReadersReachesTheOthers)
+BOOST_AUTO_TEST_CASE(HostListOfTheReadersReachesTheOtherDaemons)
 {
   BOOST_TEST(this->AllEventually(
     [](const MembershipService& aDaemon) { return aDaemon.Peers()->peers.size() == 3; }));
   auto list = this->hosts;
   list.push_back({ "engine-new", HostEntry::Kind::Engine, "127.0.0.1", 1, "domain-0", "region",
                    "large", "", false });
-  // A reading that comes too early after the last one is published with a later one
+  // A list read too soon after the last publication is published after a later read
   BOOST_TEST(this->AllEventually([&](const MembershipService& aDaemon) {
     std::size_t readers = 0;
     for (const auto& daemon : this->daemons) {
@@ -184,7 +185,7 @@
   }));
 }
 
-BOOST_AUTO_TEST_CASE(DrainIsSeenByTheOthers)
+BOOST_AUTO_TEST_CASE(DrainingDaemonIsSeenAsLeavingByItsPeers)
 {
   this->daemons[1]->Drain();
   const PeerKey leaving = ToPeerKey("daemon-1");
--- a/UnitTests/Membership/SharedStatesTests.cpp
+++ b/UnitTests/Membership/SharedStatesTests.cpp
@@ -6,7 +6,7 @@
 
 BOOST_AUTO_TEST_SUITE(SharedStatesTests)
 
-BOOST_AUTO_TEST_CASE(VersionsOnlyRise)
+BOOST_AUTO_TEST_CASE(OnlyNewerVersionsAreStored)
 {
   SharedStates states;
   BOOST_TEST(states.Publish({ "config/a", 5, "five" }));
@@ -16,7 +16,7 @@
   BOOST_TEST(states.Find(SharedState{ "config/a", 0, "" }.Topic())->bytes == "six");
 }
 
-BOOST_AUTO_TEST_CASE(RefusedStateIsNeitherKeptNorCounted)
+BOOST_AUTO_TEST_CASE(RejectedStateIsNeitherStoredNorInTheDigest)
 {
   SharedStates states;
   states.SetValidator([](const SharedState& aState) { return aState.bytes != "bad"; });
@@ -26,7 +26,7 @@
   BOOST_TEST(states.IsNews({ SharedState{ "config/a", 0, "" }.Topic(), 1 }));
 }
 
-BOOST_AUTO_TEST_CASE(DigestFollowsVersionsInAnyOrder)
+BOOST_AUTO_TEST_CASE(DigestDependsOnVersionsButNotOnTheirOrder)
 {
   SharedStates left;
   SharedStates right;
--- a/UnitTests/Membership/SoftRecordsTests.cpp
+++ b/UnitTests/Membership/SoftRecordsTests.cpp
@@ -45,7 +45,7 @@
 
 BOOST_AUTO_TEST_SUITE(SoftRecordsTests)
 
-BOOST_AUTO_TEST_CASE(NewerRevisionsAndNewServersReplace)
+BOOST_AUTO_TEST_CASE(RecordIsReplacedByANewerRevisionOrAnotherServer)
 {
   VirtualClock clock;
   SoftRecords records(clock, SoftRecordSettings());
@@ -57,7 +57,7 @@
   BOOST_TEST(records.Size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(RecordsExpire)
+BOOST_AUTO_TEST_CASE(RecordExpiresAfterItsLifetime)
 {
   VirtualClock clock;
   SoftRecords records(clock, SoftRecordSettings());
@@ -69,7 +69,7 @@
   BOOST_TEST(records.Size() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(MemoryIsBounded)
+BOOST_AUTO_TEST_CASE(FullStoreEvictsTheRecordThatExpiresFirst)
 {
   VirtualClock clock;
   SoftRecordSettings settings;
@@ -84,7 +84,7 @@
   BOOST_TEST(!records.Find(0).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(HolderIsElsewhereAndEverybodyFindsIt)
+BOOST_AUTO_TEST_CASE(HolderIsInAnotherFailureDomainAndFoundByEveryDaemon)
 {
   const auto peers = MakePeers(20);
   for (std::uint64_t key = 0; key < 200; ++key) {
@@ -96,8 +96,8 @@
                                     [&](const Peer& aPeer) { return aPeer.key == *holder; });
     BOOST_TEST(found->info.failureDomain != server.info.failureDomain);
 
-    // Whoever is asked by the returning caller has it itself, or asks a daemon that has it, also when
-    // the server is gone
+    // Whichever daemon a caller reconnects to has the record or asks a daemon that has it, also after the serving
+    // daemon has terminated
     for (const Peer& asker : peers) {
       const auto view = Without(Without(peers, asker.key), server.key);
       const auto candidates = SoftRecords::PossibleHolders(hash, "region", view, 3);
