--- a/Lagoonward/Claims/ClaimAnswer.h
+++ b/Lagoonward/Claims/ClaimAnswer.h
@@ -7,28 +7,28 @@
 
 namespace lagoonward {
 
-/// What became of a claim.
+/// The result of a claim.
 struct ClaimAnswer
 {
   enum class Verdict
   {
-    Won,         ///< First in the log; the claimant may dispatch.
-    Lost,        ///< Another claim holds the key; see `holder`.
-    Unavailable, ///< Not settled. The claimant must not dispatch, now or later.
-    Expired,     ///< The key is older than the lifetime; whether it was used is not known any more.
-    Unreachable, ///< The daemon asked did not answer, or is not ready; another one may be asked.
+    Won,         ///< First claim of the key in the log; the claimant may dispatch.
+    Lost,        ///< Another claim already holds the key; see `holder`.
+    Unavailable, ///< Not decided. The claimant must not dispatch, now or later.
+    Expired, ///< The key is older than the key lifetime; its earlier use can no longer be ruled out.
+    Unreachable, ///< The daemon did not respond or has not loaded its stream; try another daemon.
   };
 
   Verdict verdict = Verdict::Unavailable;
   ClaimHolder holder;              ///< For Lost.
-  bool maybeRecorded = false;      ///< The claim may be in the log, or still get there.
-  Milliseconds retryAfter{ 1000 }; ///< When to come back, if not settled.
+  bool maybeRecorded = false;      ///< The claim may be in the log, or may still be appended.
+  Milliseconds retryAfter{ 1000 }; ///< Retry delay if the claim was not decided.
 };
 
 using ClaimCallback = std::function<void(const ClaimAnswer&)>;
 
-/// What to tell the caller of a claim that was not won.
-/// @param aBodyHash  of the caller's own request
+/// The error to return to the caller of a claim that was not won.
+/// @param aBodyHash  hash of the caller's own request body
 [[nodiscard]] Error
 ToError(const ClaimAnswer& aAnswer, std::uint64_t aBodyHash);
 
--- a/Lagoonward/Claims/ClaimBatcher.cpp
+++ b/Lagoonward/Claims/ClaimBatcher.cpp
@@ -11,7 +11,7 @@
 
 using Verdict = ClaimAnswer::Verdict;
 
-constexpr int kLeastPageLimit = 16;
+constexpr int kMinimumPageLimit = 16;
 const Log kLog("claims");
 
 ClaimAnswer
@@ -44,7 +44,7 @@
 {
   Pending pending{ std::move(aClaim), this->clock.BootNow(), aDeadline, std::move(aCallback) };
   std::unique_lock lock(this->mutex);
-  if (const auto refusal = this->RefusalNow()) {
+  if (const auto refusal = this->ImmediateRefusal()) {
     lock.unlock();
     pending.callback(*refusal);
     return;
@@ -55,10 +55,10 @@
 }
 
 std::optional<ClaimAnswer>
-ClaimBatcher::RefusalNow() const
+ClaimBatcher::ImmediateRefusal() const
 {
-  if (this->outage) {
-    return Unavailable(false, *this->outage);
+  if (this->outageRetryAfter) {
+    return Unavailable(false, *this->outageRetryAfter);
   }
   if (this->queue.size() >= this->settings.maxQueuedClaims) {
     return Unavailable(false);
@@ -72,7 +72,8 @@
   {
     const std::lock_guard lock(this->mutex);
     if (this->outcomes.size() >= this->settings.maxQueuedOutcomes) {
-      kLog.Warning("{}: dropped an outcome of claim {}.", this->stream, ToString(aOutcome.id));
+      kLog.Warning("{}: the outcome queue is full; dropped an outcome of claim {}.", this->stream,
+                   ToString(aOutcome.id));
       return;
     }
     this->outcomes.push_back(std::move(aOutcome));
@@ -83,7 +84,7 @@
 Milliseconds
 ClaimBatcher::Step()
 {
-  // Keep appends apart, so that one shard stays within its share of the log's budget
+  // Space the appends out, so that one shard stays within its share of the log's request budget
   const auto sinceAppend = this->clock.Now() - this->lastAppend;
   const auto untilFlush =
     std::chrono::duration_cast<Milliseconds>(this->settings.flushInterval - sinceAppend);
@@ -94,27 +95,27 @@
   this->ExpireBatch();
   if (!this->batch && !this->TakeBatch()) {
     this->idle = true;
-    this->ledger.Forget(this->clock.WallNow());
+    this->ledger.RemoveExpired(this->clock.WallNow());
     return this->settings.idleWait;
   }
   const auto advanced = this->Advance();
   if (!advanced) {
-    return this->NoteFailure(advanced.error());
+    return this->HandleFailure(advanced.error());
   }
   this->failures = 0;
   this->backoff.Reset();
   const std::lock_guard lock(this->mutex);
-  this->outage.reset();
+  this->outageRetryAfter.reset();
   return Milliseconds(0);
 }
 
 void
-ClaimBatcher::WaitForWork(Milliseconds aSpan)
+ClaimBatcher::WaitForWork(Milliseconds aTimeout)
 {
   std::unique_lock lock(this->mutex);
-  this->wake.wait_for(lock, aSpan, [this] {
+  this->wake.wait_for(lock, aTimeout, [this] {
     const bool hasWork = !this->queue.empty() || !this->outcomes.empty();
-    return this->woken || (this->idle && hasWork);
+    return this->wakeRequested || (this->idle && hasWork);
   });
 }
 
@@ -123,7 +124,7 @@
 {
   {
     const std::lock_guard lock(this->mutex);
-    this->woken = true;
+    this->wakeRequested = true;
   }
   this->wake.notify_all();
 }
@@ -151,8 +152,8 @@
       this->outcomes.pop_front();
     }
 
-    // An outage ends only with a round that succeeds, so keep probing
-    if (taken.claims.empty() && taken.record.outcomes.empty() && !this->outage) {
+    // An outage ends only when a round succeeds, so keep probing the log
+    if (taken.claims.empty() && taken.record.outcomes.empty() && !this->outageRetryAfter) {
       return false;
     }
   }
@@ -173,41 +174,42 @@
     if (pending.deadline > now) {
       alive.push_back(std::move(pending));
     } else {
-      pending.callback(Unavailable(this->batch->tried));
+      pending.callback(Unavailable(this->batch->appendAttempted));
     }
   }
   this->batch->claims = std::move(alive);
 
-  // Nobody waits for the record any more, and nothing in it has to get there
-  if (this->batch->tried && this->batch->claims.empty() && this->batch->record.outcomes.empty()) {
+  // No caller waits for the record any more, and it contains no outcome that must be written
+  if (this->batch->appendAttempted && this->batch->claims.empty() &&
+      this->batch->record.outcomes.empty()) {
     this->batch.reset();
   }
 }
 
 void
-ClaimBatcher::PassOnWhileCold()
+ClaimBatcher::RedirectWhileLoading()
 {
   if (this->loaded) {
     return;
   }
-  const auto patienceEnd = this->clock.BootNow() - this->settings.coldPatience;
-  std::vector<Pending> passedOn;
-  const auto takeFrom = [&](auto& aPendings) {
-    const auto isPatient = [&](const Pending& aPending) {
-      return aPending.submitted > patienceEnd;
+  const auto oldestAllowed = this->clock.BootNow() - this->settings.coldLoadTimeout;
+  std::vector<Pending> redirected;
+  const auto extractExpired = [&](auto& aPendings) {
+    const auto isWithinTimeout = [&](const Pending& aPending) {
+      return aPending.submitted > oldestAllowed;
     };
-    const auto first = std::stable_partition(aPendings.begin(), aPendings.end(), isPatient);
-    std::move(first, aPendings.end(), std::back_inserter(passedOn));
+    const auto first = std::stable_partition(aPendings.begin(), aPendings.end(), isWithinTimeout);
+    std::move(first, aPendings.end(), std::back_inserter(redirected));
     aPendings.erase(first, aPendings.end());
   };
   if (this->batch) {
-    takeFrom(this->batch->claims);
+    extractExpired(this->batch->claims);
   }
   {
     const std::lock_guard lock(this->mutex);
-    takeFrom(this->queue);
+    extractExpired(this->queue);
   }
-  for (const Pending& pending : passedOn) {
+  for (const Pending& pending : redirected) {
     ClaimAnswer answer;
     answer.verdict = Verdict::Unreachable;
     pending.callback(answer);
@@ -217,7 +219,7 @@
 Result<void>
 ClaimBatcher::Advance()
 {
-  if (!this->batch->tried) {
+  if (!this->batch->appendAttempted) {
     if (auto prepared = this->Prepare(); !prepared) {
       return prepared;
     }
@@ -228,7 +230,7 @@
   } else if (auto caughtUp = this->CatchUp(); !caughtUp) {
     return caughtUp;
   }
-  if (!this->batch->seen) {
+  if (!this->batch->inLog) {
     if (auto appended = this->Append(); !appended) {
       return appended;
     }
@@ -240,15 +242,15 @@
 Result<void>
 ClaimBatcher::Prepare()
 {
-  // A key that is held may have been freed since; only a fresh reading can refuse it
-  const bool probing = this->failures > 0;
-  if (!this->loaded || probing || this->AnyHeld()) {
+  // A held key may have been freed since the last read, so read again before refusing its claim
+  const bool isProbing = this->failures > 0;
+  if (!this->loaded || isProbing || this->AnyKeyHeld()) {
     if (auto caughtUp = this->CatchUp(); !caughtUp) {
       return caughtUp;
     }
     this->loaded = true;
   }
-  this->AnswerHeld();
+  this->AnswerHeldKeys();
   ClaimRecord& record = this->batch->record;
   record.author = this->nextId;
   record.at = this->RecordTime();
@@ -262,28 +264,29 @@
 Result<void>
 ClaimBatcher::Append()
 {
-  if (!this->batch->tried) {
+  if (!this->batch->appendAttempted) {
     ++this->nextId.sequence;
     this->lastAppend = this->clock.Now();
   }
-  this->batch->tried = true;
+  this->batch->appendAttempted = true;
   const auto offset = this->log.Append(this->stream, this->batch->text);
   {
     const std::lock_guard lock(this->mutex);
     ++this->counters.appends;
   }
 
-  // Offsets only grow: if ours is the next one, nothing can stand between
+  // Offsets only increase: if our offset is the next unread one, no other record precedes it
   if (offset && offset.value() == this->ledger.NextOffset()) {
     this->ledger.Fold(offset.value(), this->batch->record);
-    this->batch->seen = true;
+    this->batch->inLog = true;
     return boost::outcome_v2::success();
   }
   if (auto caughtUp = this->CatchUp(); !caughtUp) {
     return caughtUp;
   }
-  if (!this->batch->seen) {
-    return offset ? Error(ErrorKind::PlatformUnavailable, "the record can't be read yet")
+  if (!this->batch->inLog) {
+    return offset ? Error(ErrorKind::PlatformUnavailable,
+                          "the log confirmed an append, but the record could not be read back yet")
                   : offset.error();
   }
   return boost::outcome_v2::success();
@@ -300,21 +303,21 @@
       const std::lock_guard lock(this->mutex);
       ++this->counters.reads;
     }
-    // A page of very large records may be too long an answer
+    // The response may be too large if the page holds very large records, so request fewer
     if (!page) {
-      this->pageLimit = std::max(kLeastPageLimit, this->pageLimit / 2);
-      this->PassOnWhileCold();
+      this->pageLimit = std::max(kMinimumPageLimit, this->pageLimit / 2);
+      this->RedirectWhileLoading();
       return page.error();
     }
     this->pageLimit = std::min(this->settings.pageLimit, this->pageLimit * 2);
 
-    // Go no further than what was there at first, or a busy stream would never end
+    // Read only up to the end reported by the first page; on a busy stream the loop would not terminate
     end = end == kNoOffset ? page.value().end : end;
     this->ApplyPage(page.value());
     if (page.value().records.empty() || this->ledger.NextOffset() >= end) {
       break;
     }
-    this->PassOnWhileCold();
+    this->RedirectWhileLoading();
   }
   return boost::outcome_v2::success();
 }
@@ -324,27 +327,30 @@
 {
   const auto report = this->ledger.ObserveStart(aPage.start, this->clock.WallNow());
   if (report.retentionTooShort) {
-    kLog.Error("{}: the log forgets claims sooner than the key lifetime of {} ms; keys may be used "
-               "twice.",
-               this->stream, this->settings.keyLifetime.count());
+    kLog.Error(
+      "{}: the log's retention is shorter than the key lifetime of {} ms; a key may be used "
+      "twice.",
+      this->stream, this->settings.keyLifetime.count());
   }
   if (report.skipped > 0 && this->loaded) {
-    kLog.Warning("{}: {} records lapsed unread.", this->stream, report.skipped);
+    kLog.Warning("{}: {} records were removed by the log's retention before they were read.",
+                 this->stream, report.skipped);
   }
   for (const LogRecord& record : aPage.records) {
     const auto applied = this->ledger.Apply(record.offset, record.data);
     if (!applied.faults.empty()) {
-      kLog.Warning("{}: skipped an invalid record at {}: {}.", this->stream, record.offset,
+      kLog.Warning("{}: skipped an invalid record at offset {}: {}.", this->stream, record.offset,
                    DescribeFaults(applied.faults));
     }
-    if (this->batch && this->batch->tried && applied.author == this->batch->record.author) {
-      this->batch->seen = true;
+    if (this->batch && this->batch->appendAttempted &&
+        applied.author == this->batch->record.author) {
+      this->batch->inLog = true;
     }
   }
 }
 
 bool
-ClaimBatcher::AnyHeld() const
+ClaimBatcher::AnyKeyHeld() const
 {
   const auto now = this->clock.WallNow();
   return std::any_of(
@@ -354,7 +360,7 @@
 }
 
 void
-ClaimBatcher::AnswerHeld()
+ClaimBatcher::AnswerHeldKeys()
 {
   const auto now = this->clock.WallNow();
   std::vector<Pending> open;
@@ -380,8 +386,8 @@
     this->counters.claims += this->batch->record.claims.size();
   }
 
-  // What is left without a holder was withdrawn in the meantime
-  this->AnswerHeld();
+  // A claim still without a holder was withdrawn in the meantime
+  this->AnswerHeldKeys();
   for (const Pending& pending : this->batch->claims) {
     pending.callback(Unavailable(true));
   }
@@ -389,11 +395,11 @@
 }
 
 Milliseconds
-ClaimBatcher::NoteFailure(const Error& aError)
+ClaimBatcher::HandleFailure(const Error& aError)
 {
   const auto delay = this->backoff.Next(aError);
   ++this->failures;
-  kLog.Warning("{}: round {} without the log ({}), next try in {} ms.", this->stream,
+  kLog.Warning("{}: failed round {} on the log ({}); retrying in {} ms.", this->stream,
                this->failures, aError.message, delay.count());
   if (this->failures >= this->settings.failuresUntilOutage) {
     this->RefuseAll(delay);
@@ -407,10 +413,10 @@
   std::deque<Pending> refused;
   {
     const std::lock_guard lock(this->mutex);
-    this->outage = aRetryAfter;
+    this->outageRetryAfter = aRetryAfter;
     refused.swap(this->queue);
 
-    // Outcomes must not be lost with their batch; writing one twice changes nothing
+    // Requeue the batch's outcomes so that they are not lost; writing an outcome twice has no effect
     if (this->batch) {
       auto& kept = this->batch->record.outcomes;
       this->outcomes.insert(this->outcomes.begin(), kept.begin(), kept.end());
@@ -421,7 +427,7 @@
   }
   if (this->batch) {
     for (const Pending& pending : this->batch->claims) {
-      pending.callback(Unavailable(this->batch->tried, aRetryAfter));
+      pending.callback(Unavailable(this->batch->appendAttempted, aRetryAfter));
     }
     this->batch.reset();
   }
--- a/Lagoonward/Claims/ClaimBatcher.h
+++ b/Lagoonward/Claims/ClaimBatcher.h
@@ -8,13 +8,14 @@
 
 namespace lagoonward {
 
-/// Groups the claims of one shard into appends and settles them by the log's order. Any number of
-/// daemons may run a batcher for the same shard: it decides nothing, it only reads who was first.
+/// Groups the claims of one shard into appends and decides them by the order of the records in the log.
+/// Any number of daemons may run a batcher for the same shard, because only the log's order decides which
+/// claim is first.
 ///
-/// An append whose answer is lost is settled by reading for its own record, and repeated while that is
-/// not there; a second copy changes nothing. During an outage claims are refused at once, and while the
-/// stream is being read for the first time they are passed on as Unreachable, so that the claimant asks
-/// a daemon that has read it.
+/// If the response to an append is lost, the batcher reads the stream for its own record and repeats the
+/// append until the record is found; a duplicate record has no effect. During a log outage claims are
+/// refused immediately. While the stream is read for the first time, claims are answered with Unreachable,
+/// so that the claimant asks a daemon that has already loaded the stream.
 ///
 /// Step() is called by one thread in a loop; the other functions are safe from any thread.
 class ClaimBatcher
@@ -23,37 +24,37 @@
   /// Counters for metrics.
   struct Counters
   {
-    std::uint64_t appends = 0; ///< Tried, repeated ones included.
-    std::uint64_t claims = 0;  ///< Written, in records that took effect.
+    std::uint64_t appends = 0; ///< Attempts, including repeated ones.
+    std::uint64_t claims = 0;  ///< Claims in records that were confirmed to be in the log.
     std::uint64_t reads = 0;
   };
 
   /// All references must outlive the batcher.
-  /// @param aIncarnation  of this run of this daemon; the batcher adds its stream
+  /// @param aIncarnation  identifies this run of this daemon; the batcher appends its stream name
   ClaimBatcher(std::string aStream, std::string_view aIncarnation, const ClaimSettings& aSettings,
                LogService& aLog, const Clock& aClock);
 
-  /// Queues a claim. aCallback is called once, by the stepping thread, or by this call if the claim is
-  /// refused at once.
-  /// @param aDeadline  on the clock that counts suspension
+  /// Queues a claim. aCallback is called once: on the thread that calls Step(), or inside this call if the
+  /// claim is refused immediately.
+  /// @param aDeadline  on the boot clock, which includes time spent suspended
   void Submit(Claim aClaim, TimePoint aDeadline, ClaimCallback aCallback);
 
-  /// Queues an outcome; it travels with the next append and is kept through outages.
+  /// Queues an outcome. It is written with the next append and stays queued during outages.
   void SubmitOutcome(ClaimOutcome aOutcome);
 
-  /// One round: takes what is queued, appends it and settles it.
-  /// @return how long to wait before the next round
+  /// Runs one round: takes the queued claims and outcomes, appends them and answers the claims.
+  /// @return the delay before the next round
   [[nodiscard]] Milliseconds Step();
 
-  /// Waits for up to aSpan after a Step(); if that found nothing to do, only until something is queued.
-  /// For the stepping thread.
-  void WaitForWork(Milliseconds aSpan);
+  /// Waits for up to aTimeout after a Step(). If that Step() found nothing to do, returns early as soon as
+  /// something is queued. Called only by the thread that calls Step().
+  void WaitForWork(Milliseconds aTimeout);
 
-  /// Ends the current and every later WaitForWork() at once. For stopping.
+  /// Makes the current and every later WaitForWork() return immediately. Used at shutdown.
   void WakeUp();
 
-  /// Refuses every waiting claim, and later ones until a round succeeds. For the stepping thread, or
-  /// once it has ended.
+  /// Refuses every waiting claim, and new ones until a round succeeds. Called by the thread that calls
+  /// Step(), or after that thread has ended.
   void RefuseAll(Milliseconds aRetryAfter);
 
   [[nodiscard]] Counters GetCounters() const;
@@ -66,30 +67,30 @@
     TimePoint deadline;
     ClaimCallback callback;
   };
-  /// The append that is being made.
+  /// The append in progress.
   struct Batch
   {
     ClaimRecord record;
     std::string text;
-    std::vector<Pending> claims; ///< Those not answered yet.
-    bool tried = false;          ///< It may be in the log.
-    bool seen = false;           ///< It was read there.
+    std::vector<Pending> claims;  ///< Claims not answered yet.
+    bool appendAttempted = false; ///< An append was sent, so the record may be in the log.
+    bool inLog = false;           ///< The record is confirmed to be in the log.
   };
 
   [[nodiscard]] bool TakeBatch();
   void ExpireBatch();
-  void PassOnWhileCold();
+  void RedirectWhileLoading();
   [[nodiscard]] Result<void> Advance();
   [[nodiscard]] Result<void> Prepare();
   [[nodiscard]] Result<void> Append();
   [[nodiscard]] Result<void> CatchUp();
   void ApplyPage(const LogPage& aPage);
-  [[nodiscard]] bool AnyHeld() const;
-  void AnswerHeld();
+  [[nodiscard]] bool AnyKeyHeld() const;
+  void AnswerHeldKeys();
   void Settle();
-  [[nodiscard]] Milliseconds NoteFailure(const Error& aError);
+  [[nodiscard]] Milliseconds HandleFailure(const Error& aError);
   [[nodiscard]] WallTime RecordTime() const;
-  [[nodiscard]] std::optional<ClaimAnswer> RefusalNow() const;
+  [[nodiscard]] std::optional<ClaimAnswer> ImmediateRefusal() const;
 
   const std::string stream;
   const ClaimSettings& settings;
@@ -98,21 +99,22 @@
 
   // Used by Step() only
   ClaimLedger ledger;
-  bool idle = false;   ///< Whether the last round found nothing to do.
-  bool loaded = false; ///< Whether the stream was read to its end once.
-  int pageLimit = 0;   ///< Records in the next read.
-  RecordId nextId;     ///< Of the next record.
+  bool idle = false;   ///< True if the last round found nothing to do.
+  bool loaded = false; ///< True once the stream has been read to its end.
+  int pageLimit = 0;   ///< Maximum number of records in the next read.
+  RecordId nextId;     ///< Id of the next record.
   std::optional<Batch> batch;
-  TimePoint lastAppend; ///< When the last new record was first tried.
-  int failures = 0;     ///< Failed rounds in a row.
+  TimePoint lastAppend; ///< Time of the first append attempt of the latest record.
+  int failures = 0;     ///< Consecutive failed rounds.
   Backoff backoff;
 
   mutable std::mutex mutex; ///< Guards everything below.
   std::condition_variable wake;
-  bool woken = false;
+  bool wakeRequested = false;
   std::deque<Pending> queue;
   std::deque<ClaimOutcome> outcomes;
-  std::optional<Milliseconds> outage; ///< Set while the log is away: when callers should come back.
+  std::optional<Milliseconds>
+    outageRetryAfter; ///< Retry delay for callers; set while the log is unavailable.
   Counters counters;
 };
 
--- a/Lagoonward/Claims/ClaimKey.cpp
+++ b/Lagoonward/Claims/ClaimKey.cpp
@@ -14,7 +14,7 @@
 constexpr std::size_t kHexDigits = 16;
 constexpr int kHexBase = 16;
 
-/// Adds a text with its length, so that no two lists of texts look alike.
+/// Hashes a text prefixed with its length, so that different lists of texts never hash the same bytes.
 void
 AddText(crypto_generichash_state& aState, std::string_view aText)
 {
--- a/Lagoonward/Claims/ClaimKey.h
+++ b/Lagoonward/Claims/ClaimKey.h
@@ -6,12 +6,12 @@
 
 namespace lagoonward {
 
-/// How many streams the claims of one region are spread over. Part of the format, not a setting: two
-/// daemons that disagreed on it would look for one key in two streams.
+/// Number of streams over which the claims of one region are sharded. It is part of the storage format and
+/// not a setting: daemons with different values would look for one key in different streams.
 inline constexpr std::size_t kClaimShards = 8;
 
-/// Names one non-idempotent request: a digest of market, client account and idempotency key. The
-/// texts themselves are not written to the log.
+/// Identifies one non-idempotent request: a digest of market, client account and idempotency key. The
+/// names themselves are not written to the log.
 struct ClaimKey
 {
   std::uint64_t high = 0;
@@ -20,11 +20,12 @@
   [[nodiscard]] auto operator<=>(const ClaimKey&) const = default;
 };
 
-/// Digest of the three names (BLAKE2b), so that no client can aim at another one's key.
+/// Digest of the three names with BLAKE2b, a cryptographic hash, so that no client can construct a collision
+/// with another client's key.
 [[nodiscard]] ClaimKey
 MakeClaimKey(std::string_view aMarket, std::string_view aClient, std::string_view aIdempotencyKey);
 
-/// The shard of a key, below kClaimShards.
+/// The shard of a key, less than kClaimShards.
 [[nodiscard]] std::size_t
 ShardOf(const ClaimKey& aKey);
 
@@ -40,7 +41,7 @@
 [[nodiscard]] std::optional<std::uint64_t>
 FromHex(std::string_view aDigits);
 
-/// Hash of a key for tables; the digest is uniform already.
+/// Hash of a key for hash tables. The digest is already uniformly distributed.
 struct ClaimKeyHash
 {
   [[nodiscard]] std::size_t operator()(const ClaimKey& aKey) const noexcept { return aKey.low; }
--- a/Lagoonward/Claims/ClaimLedger.cpp
+++ b/Lagoonward/Claims/ClaimLedger.cpp
@@ -8,17 +8,17 @@
 
 namespace {
 
-/// Kept beyond the lifetime, for clocks that differ between daemons.
+/// Entries are retained this much longer than the lifetime, because clocks differ between daemons.
 constexpr Milliseconds kClockMargin{ 60'000 };
 
-/// Takes memories off the front while they are older than aOldest, handing each to aForget.
-template<typename Memories, typename Forget>
+/// Pops entries from the front while they are older than aOldest and calls aOnRemoved for each.
+template<typename Queue, typename OnRemoved>
 void
-PopWhileOlder(Memories& aMemories, WallTime aOldest, Forget aForget)
+PopWhileOlder(Queue& aQueue, WallTime aOldest, OnRemoved aOnRemoved)
 {
-  while (!aMemories.empty() && aMemories.front().at < aOldest) {
-    aForget(aMemories.front());
-    aMemories.pop_front();
+  while (!aQueue.empty() && aQueue.front().at < aOldest) {
+    aOnRemoved(aQueue.front());
+    aQueue.pop_front();
   }
 }
 
@@ -39,15 +39,15 @@
 ClaimLedger::ObserveStart(Offset aStart, WallTime aNow)
 {
   StartReport report;
-  report.skipped = std::max<Offset>(0, aStart - this->next);
-  this->next = std::max(this->next, aStart);
+  report.skipped = std::max<Offset>(0, aStart - this->nextOffset);
+  this->nextOffset = std::max(this->nextOffset, aStart);
 
-  // What we remember of lapsed records tells how long the log keeps them
-  for (const RecordMemory& memory : this->recordMemories) {
-    if (memory.offset >= aStart) {
+  // The timestamps of records that the log has removed show how long it retains them
+  for (const RetainedRecord& retained : this->retainedRecords) {
+    if (retained.offset >= aStart) {
       break;
     }
-    if (memory.at + this->lifetime > aNow) {
+    if (retained.at + this->lifetime > aNow) {
       report.retentionTooShort = true;
       break;
     }
@@ -58,13 +58,13 @@
 ClaimLedger::AppliedRecord
 ClaimLedger::Apply(Offset aOffset, std::string_view aData)
 {
-  if (aOffset < this->next) {
+  if (aOffset < this->nextOffset) {
     return {};
   }
   AppliedRecord applied;
   const auto record = ReadClaimRecord(aData, applied.faults);
   if (!record) {
-    this->next = aOffset + 1;
+    this->nextOffset = aOffset + 1;
     return applied;
   }
   this->Fold(aOffset, *record);
@@ -75,12 +75,12 @@
 void
 ClaimLedger::Fold(Offset aOffset, const ClaimRecord& aRecord)
 {
-  if (aOffset < this->next) {
+  if (aOffset < this->nextOffset) {
     return;
   }
-  this->next = aOffset + 1;
-  this->latest = std::max(this->latest, aRecord.at);
-  this->recordMemories.push_back({ aRecord.at, aOffset });
+  this->nextOffset = aOffset + 1;
+  this->latestTime = std::max(this->latestTime, aRecord.at);
+  this->retainedRecords.push_back({ aRecord.at, aOffset });
   for (const Claim& claim : aRecord.claims) {
     this->FoldClaim(aOffset, aRecord.at, claim);
   }
@@ -96,7 +96,7 @@
   if (this->voids.contains(id)) {
     return;
   }
-  this->keyMemories.push_back({ aAt, aClaim.key });
+  this->keyExpiryQueue.push_back({ aAt, aClaim.key });
   const auto found = this->entries.find(aClaim.key);
   if (found != this->entries.end() && aAt - found->second.lastClaim <= this->lifetime) {
     found->second.lastClaim = std::max(found->second.lastClaim, aAt);
@@ -119,7 +119,7 @@
     return;
   }
 
-  // Whoever says that it ran is believed before whoever says that it did not
+  // An outcome "yes" takes precedence over an outcome "no"
   if (holds && found->second.ran == Ran::Yes) {
     return;
   }
@@ -127,7 +127,7 @@
     this->entries.erase(found);
   }
   this->voids[id] = aAt;
-  this->voidMemories.push_back({ aAt, id });
+  this->voidExpiryQueue.push_back({ aAt, id });
 }
 
 std::optional<ClaimHolder>
@@ -154,26 +154,26 @@
 Offset
 ClaimLedger::NextOffset() const
 {
-  return this->next;
+  return this->nextOffset;
 }
 
 WallTime
 ClaimLedger::LatestTime() const
 {
-  return this->latest;
+  return this->latestTime;
 }
 
 void
-ClaimLedger::Forget(WallTime aNow)
+ClaimLedger::RemoveExpired(WallTime aNow)
 {
   const WallTime oldest = aNow - this->lifetime - kClockMargin;
-  PopWhileOlder(this->recordMemories, oldest, [](const RecordMemory&) {});
-  PopWhileOlder(this->voidMemories, oldest,
-                [this](const Memory<CompactId>& aMemory) { this->voids.erase(aMemory.item); });
+  PopWhileOlder(this->retainedRecords, oldest, [](const RetainedRecord&) {});
+  PopWhileOlder(this->voidExpiryQueue, oldest,
+                [this](const ExpiryEntry<CompactId>& aEntry) { this->voids.erase(aEntry.item); });
 
-  // A key that was claimed again since has a later memory, too
-  PopWhileOlder(this->keyMemories, oldest, [&](const Memory<ClaimKey>& aMemory) {
-    const auto found = this->entries.find(aMemory.item);
+  // A key that was claimed again later has a later queue entry, too
+  PopWhileOlder(this->keyExpiryQueue, oldest, [&](const ExpiryEntry<ClaimKey>& aEntry) {
+    const auto found = this->entries.find(aEntry.item);
     if (found != this->entries.end() && found->second.lastClaim < oldest) {
       this->entries.erase(found);
     }
--- a/Lagoonward/Claims/ClaimLedger.h
+++ b/Lagoonward/Claims/ClaimLedger.h
@@ -8,72 +8,71 @@
 
 namespace lagoonward {
 
-/// Who holds a key.
+/// The claim that holds a key.
 struct ClaimHolder
 {
-  RecordId id; ///< Of the claim that won.
+  RecordId id; ///< Id of the claim that won.
   std::uint64_t bodyHash = 0;
-  Ran ran = Ran::Unknown; ///< Yes once its claimant recorded so.
+  Ran ran = Ran::Unknown; ///< Yes once its claimant has recorded that the request ran.
   Offset offset = kNoOffset;
 };
 
-/// Folds the records of one stream `claims/REGION/SHARD` into who holds which key. The first claim by
-/// offset, and by place within a record, wins; an outcome "no" frees the key again and voids every
-/// copy of that claim that lands later. Any later claim of a held key, though it loses, keeps the key
-/// held for another lifetime, so that readers whose clocks or lifetimes differ never see two winners
-/// within the shorter lifetime. docs/design/at-most-once.md has the argument. Not thread-safe.
+/// Folds the records of one stream `claims/REGION/SHARD` into a table of the holder of each key. The first
+/// claim by offset, then by position within a record, wins. An outcome "no" frees the key and voids every
+/// copy of that claim that is appended later. A later claim of a held key loses, but extends the hold by
+/// another lifetime, so that readers with different clocks or lifetimes never see two winners within the
+/// shorter lifetime. docs/design/at-most-once.md has the proof. Not thread-safe.
 class ClaimLedger
 {
 public:
-  /// @param aLifetime  how long after its last claim a key stays held; the log's retention must be
-  ///                   longer
+  /// @param aLifetime  how long a key stays held after its last claim; the log's retention must be longer
   explicit ClaimLedger(Milliseconds aLifetime);
 
-  /// What reading the stream's position told.
+  /// Result of ObserveStart().
   struct StartReport
   {
-    Offset skipped = 0;             ///< Records that lapsed unread.
-    bool retentionTooShort = false; ///< Records younger than the lifetime have lapsed.
+    Offset skipped = 0; ///< Records removed by the log's retention before they were read.
+    bool retentionTooShort = false; ///< The log has removed records younger than the lifetime.
   };
 
-  /// Notes the oldest offset that the log still keeps.
+  /// Records the oldest offset that the log still retains.
   [[nodiscard]] StartReport ObserveStart(Offset aStart, WallTime aNow);
 
-  /// What one record was.
+  /// Result of Apply().
   struct AppliedRecord
   {
-    std::optional<RecordId> author; ///< Nothing if the record was invalid or read before.
-    JsonFaults faults;              ///< Of an invalid record, which every reader skips.
+    std::optional<RecordId> author; ///< Empty if the record was invalid or already read.
+    JsonFaults faults;              ///< Faults of an invalid record, which every reader skips.
   };
 
-  /// Folds one record; one that was read before is ignored.
+  /// Parses and folds one record; a record that was already read is ignored.
   AppliedRecord Apply(Offset aOffset, std::string_view aData);
 
-  /// As Apply(), for a record that is parsed already.
+  /// As Apply(), for a parsed record.
   void Fold(Offset aOffset, const ClaimRecord& aRecord);
 
-  /// Who holds the key at a moment, if anybody does.
+  /// The holder of the key at aNow, if there is one.
   [[nodiscard]] std::optional<ClaimHolder> Find(const ClaimKey& aKey, WallTime aNow) const;
 
-  /// The latest time that a record bore. A new record must not bear an earlier one, so that an author
-  /// whose clock lags makes no key look old.
+  /// Latest timestamp of any record read. A new record must not have an earlier timestamp, so that an author
+  /// with a slow clock cannot make a key expire early.
   [[nodiscard]] WallTime LatestTime() const;
 
   /// Whether the claim was withdrawn by an outcome "no".
   [[nodiscard]] bool IsVoid(const RecordId& aId) const;
 
-  /// First offset not yet read.
+  /// First unread offset.
   [[nodiscard]] Offset NextOffset() const;
 
-  /// Forgets what is older than the lifetime and a margin.
-  void Forget(WallTime aNow);
+  /// Removes entries older than the lifetime plus a margin for clock differences.
+  void RemoveExpired(WallTime aNow);
 
   [[nodiscard]] std::size_t Size() const;
 
 private:
   using ClaimantIndex = std::uint32_t;
 
-  /// A claim's identity, with its incarnation as an index into `claimants`.
+  /// A claim's id, with its incarnation stored as an index into `claimants`.
   struct CompactId
   {
     ClaimantIndex claimant = 0;
@@ -84,27 +83,27 @@
   {
     [[nodiscard]] std::size_t operator()(const CompactId& aId) const;
   };
-  /// Laid out so that nothing is padded but the last word; millions of them are kept.
+  /// Members are ordered so that only the last word is padded, because the table holds millions of entries.
   struct Entry
   {
-    std::uint64_t sequence = 0; ///< With `claimant`: the id of the claim that won.
+    std::uint64_t sequence = 0; ///< Together with `claimant`, the id of the claim that won.
     std::uint64_t bodyHash = 0;
     Offset offset = kNoOffset;
-    WallTime lastClaim; ///< Of the last claim of the key, won or lost.
+    WallTime lastClaim; ///< Time of the last claim of the key, won or lost.
     ClaimantIndex claimant = 0;
     Ran ran = Ran::Unknown;
 
     [[nodiscard]] CompactId Id() const { return { this->claimant, this->sequence }; }
   };
-  /// One folded record; tells how long the log keeps them.
-  struct RecordMemory
+  /// Timestamp and offset of a folded record, to detect a log retention that is too short.
+  struct RetainedRecord
   {
     WallTime at;
     Offset offset = kNoOffset;
   };
-  /// Something to look at again when it may be forgotten, in the order in which it was folded.
+  /// An item to check for removal once it is older than the lifetime; queued in the order of folding.
   template<typename Item>
-  struct Memory
+  struct ExpiryEntry
   {
     WallTime at;
     Item item;
@@ -115,14 +114,14 @@
   [[nodiscard]] CompactId Compact(const RecordId& aId);
 
   Milliseconds lifetime;
-  Offset next = 0; ///< First offset not yet read.
-  WallTime latest; ///< Latest time that a record bore.
+  Offset nextOffset = 0; ///< First unread offset.
+  WallTime latestTime;   ///< Latest timestamp of a record.
   std::unordered_map<ClaimKey, Entry, ClaimKeyHash> entries;
   std::unordered_map<CompactId, WallTime, CompactIdHash> voids; ///< Withdrawn claims.
-  std::deque<RecordMemory> recordMemories;
-  std::deque<Memory<ClaimKey>> keyMemories;
-  std::deque<Memory<CompactId>> voidMemories;
-  std::vector<std::string> claimants; ///< Incarnations seen; a few bytes for each run of a daemon.
+  std::deque<RetainedRecord> retainedRecords;
+  std::deque<ExpiryEntry<ClaimKey>> keyExpiryQueue;
+  std::deque<ExpiryEntry<CompactId>> voidExpiryQueue;
+  std::vector<std::string> claimants; ///< Incarnations seen; a few bytes for each daemon run.
   std::unordered_map<std::string, ClaimantIndex> claimantIndices;
 };
 
--- a/Lagoonward/Claims/ClaimRecord.cpp
+++ b/Lagoonward/Claims/ClaimRecord.cpp
@@ -27,7 +27,7 @@
   const auto low =
     digits.size() == kKeyDigits ? FromHex(std::string_view(digits).substr(kHalfDigits)) : high;
   if (digits.size() != kKeyDigits || !high || !low) {
-    aReader.Fault("key", "not 32 hexadecimal digits");
+    aReader.Fault("key", "must be 32 hexadecimal digits");
     return {};
   }
   return { *high, *low };
@@ -53,7 +53,7 @@
   claim.id = ReadClaimId(aReader);
   const auto body = FromHex(aReader.ReadString("body"));
   if (!body) {
-    aReader.Fault("body", "not 16 hexadecimal digits");
+    aReader.Fault("body", "must be 16 hexadecimal digits");
   }
   claim.bodyHash = body.value_or(0);
   aReader.RejectUnknown();
@@ -68,7 +68,7 @@
   outcome.id = ReadClaimId(aReader);
   const std::string ran = aReader.ReadString("ran");
   if (ran != "yes" && ran != "no") {
-    aReader.Fault("ran", "neither yes nor no");
+    aReader.Fault("ran", "must be yes or no");
   }
   outcome.ran = ran == "yes" ? Ran::Yes : Ran::No;
   aReader.RejectUnknown();
--- a/Lagoonward/Claims/ClaimRecord.h
+++ b/Lagoonward/Claims/ClaimRecord.h
@@ -8,20 +8,21 @@
 
 namespace lagoonward {
 
-/// One daemon's wish to run a non-idempotent request.
+/// A daemon's claim to run a non-idempotent request.
 struct Claim
 {
   ClaimKey key;
-  std::uint64_t bodyHash = 0; ///< Of the request's body; another body under one key is refused.
-  RecordId id;                ///< The claimant's incarnation and a number that it uses once.
+  std::uint64_t bodyHash =
+    0;         ///< Hash of the request's body; a different body under the same key is refused.
+  RecordId id; ///< The claimant's incarnation and a sequence number that it never reuses.
 };
 
-/// What is known of a claimed request.
+/// The outcome of a claimed request.
 struct ClaimOutcome
 {
   ClaimKey key;
-  RecordId id;       ///< Of the claim.
-  Ran ran = Ran::No; ///< Yes: it ran. No: it did not, and never will under this claim.
+  RecordId id;       ///< Id of the claim.
+  Ran ran = Ran::No; ///< Yes: it ran. No: it did not run and never will under this claim.
 };
 
 /// One record of a stream `claims/REGION/SHARD`: the claims and outcomes of one append.
@@ -29,19 +30,19 @@
 /// "outcomes":[{"key":HEX32,"by":INCARNATION,"seq":N,"ran":"yes"|"no"}]}`
 struct ClaimRecord
 {
-  RecordId author; ///< Who appended it; its claims may be other daemons'.
-  WallTime at;     ///< The author's clock.
+  RecordId author; ///< The daemon that appended the record; its claims may come from other daemons.
+  WallTime at;     ///< By the author's clock.
   std::vector<Claim> claims;
-  std::vector<ClaimOutcome> outcomes; ///< Take effect after the claims of the same record.
+  std::vector<ClaimOutcome> outcomes; ///< Applied after the claims of the same record.
 };
 
-/// Reads a record.
-/// @param aFaults  gets every fault, with its pointer
+/// Parses a record.
+/// @param aFaults  receives every fault with its JSON pointer
 /// @return nothing if there was a fault
 [[nodiscard]] std::optional<ClaimRecord>
 ReadClaimRecord(std::string_view aText, JsonFaults& aFaults);
 
-/// The text that ReadClaimRecord() reads.
+/// Serializes a record as the text that ReadClaimRecord() parses.
 [[nodiscard]] std::string
 WriteClaimRecord(const ClaimRecord& aRecord);
 
--- a/Lagoonward/Claims/ClaimService.cpp
+++ b/Lagoonward/Claims/ClaimService.cpp
@@ -12,7 +12,9 @@
 using Verdict = ClaimAnswer::Verdict;
 
 constexpr std::size_t kBatchersPerShard = 2;
-constexpr Milliseconds kClockMargin{ 60'000 }; ///< By which callers' clocks may differ from ours.
+constexpr Milliseconds kClockMargin{
+  60'000
+}; ///< Maximum difference between callers' clocks and ours.
 const Log kLog("claims");
 
 } // namespace
@@ -77,20 +79,20 @@
   const lagoonward::Claim claim{ aKey,
                                  aBodyHash,
                                  { this->hooks.incarnation, this->nextSequence.fetch_add(1) } };
-  auto journey = std::make_shared<Journey>();
-  journey->ticket = std::make_shared<ClaimTicket>(claim, now + this->settings.dispatchWindow);
-  journey->callback = std::move(aCallback);
-  journey->deadline = now + this->settings.claimTimeout;
-  journey->daemons = this->BatchersOf(ShardOf(aKey));
+  auto request = std::make_shared<ClaimRequest>();
+  request->ticket = std::make_shared<ClaimTicket>(claim, now + this->settings.dispatchWindow);
+  request->callback = std::move(aCallback);
+  request->deadline = now + this->settings.claimTimeout;
+  request->daemons = this->BatcherDaemons(ShardOf(aKey));
   const auto oldest = this->clock.WallNow() - this->settings.keyLifetime + kClockMargin;
   if (aKeyIssued && *aKeyIssued < oldest) {
     ClaimAnswer expired;
     expired.verdict = Verdict::Expired;
-    this->Finish(journey, expired);
-    return journey->ticket;
+    this->Finish(request, expired);
+    return request->ticket;
   }
-  this->Ask(journey);
-  return journey->ticket;
+  this->AskNextDaemon(request);
+  return request->ticket;
 }
 
 bool
@@ -152,7 +154,7 @@
 }
 
 std::vector<std::string>
-ClaimService::BatchersOf(std::size_t aShard) const
+ClaimService::BatcherDaemons(std::size_t aShard) const
 {
   const auto key = HashBytes(ClaimStream(this->hooks.region, aShard));
   auto daemons = this->hooks.liveDaemons ? this->hooks.liveDaemons() : std::vector<std::string>();
@@ -170,58 +172,58 @@
 }
 
 void
-ClaimService::Ask(const JourneyPtr& aJourney)
+ClaimService::AskNextDaemon(const ClaimRequestPtr& aRequest)
 {
-  const auto left =
-    std::chrono::duration_cast<Milliseconds>(aJourney->deadline - this->clock.BootNow());
-  if (aJourney->daemons.empty() || left.count() <= 0) {
-    this->Finish(aJourney, ClaimAnswer());
+  const auto remaining =
+    std::chrono::duration_cast<Milliseconds>(aRequest->deadline - this->clock.BootNow());
+  if (aRequest->daemons.empty() || remaining.count() <= 0) {
+    this->Finish(aRequest, ClaimAnswer());
     return;
   }
-  const std::string daemon = aJourney->daemons.front();
-  aJourney->daemons.erase(aJourney->daemons.begin());
-  const auto answered = [this, aJourney](const ClaimAnswer& aAnswer) {
-    this->OnAnswer(aJourney, aAnswer);
+  const std::string daemon = aRequest->daemons.front();
+  aRequest->daemons.erase(aRequest->daemons.begin());
+  const auto answered = [this, aRequest](const ClaimAnswer& aAnswer) {
+    this->OnAnswer(aRequest, aAnswer);
   };
-  const auto& claim = aJourney->ticket->GetClaim();
+  const auto& claim = aRequest->ticket->GetClaim();
   if (daemon == this->hooks.daemonId || this->hooks.forwarder == nullptr) {
-    this->Receive(claim, left, answered);
+    this->Receive(claim, remaining, answered);
     return;
   }
 
-  // Leave time for the second daemon
-  const bool isLast = aJourney->daemons.empty();
-  const auto budget = isLast ? left : std::min(left, this->settings.forwardTimeout);
+  // Reserve time for the second daemon
+  const bool isLast = aRequest->daemons.empty();
+  const auto budget = isLast ? remaining : std::min(remaining, this->settings.forwardTimeout);
   this->hooks.forwarder->ForwardClaim(daemon, claim, budget, answered);
 }
 
 void
-ClaimService::OnAnswer(const JourneyPtr& aJourney, const ClaimAnswer& aAnswer)
+ClaimService::OnAnswer(const ClaimRequestPtr& aRequest, const ClaimAnswer& aAnswer)
 {
-  // Whoever did not answer may still have recorded it; the next one's copy changes nothing
+  // A daemon that did not respond may still have recorded the claim; a second copy has no effect
   if (aAnswer.verdict == Verdict::Unreachable) {
-    aJourney->maybeRecorded = true;
-    this->Ask(aJourney);
+    aRequest->maybeRecorded = true;
+    this->AskNextDaemon(aRequest);
     return;
   }
-  this->Finish(aJourney, aAnswer);
+  this->Finish(aRequest, aAnswer);
 }
 
 void
-ClaimService::Finish(const JourneyPtr& aJourney, ClaimAnswer aAnswer)
+ClaimService::Finish(const ClaimRequestPtr& aRequest, ClaimAnswer aAnswer)
 {
-  const auto& claim = aJourney->ticket->GetClaim();
-  aAnswer.maybeRecorded = aAnswer.maybeRecorded || aJourney->maybeRecorded;
+  const auto& claim = aRequest->ticket->GetClaim();
+  aAnswer.maybeRecorded = aAnswer.maybeRecorded || aRequest->maybeRecorded;
   if (aAnswer.verdict == Verdict::Won) {
-    if (aJourney->ticket->MarkWon()) {
-      kLog.Info("claim {} won at {}.", ToString(claim.id), aAnswer.holder.offset);
-      aJourney->callback(aAnswer);
+    if (aRequest->ticket->MarkWon()) {
+      kLog.Info("claim {} won at offset {}.", ToString(claim.id), aAnswer.holder.offset);
+      aRequest->callback(aAnswer);
     }
     return;
   }
 
-  // Close first, so that no copy of the answer can lead to a dispatch, then free the key
-  if (!aJourney->ticket->Close()) {
+  // Close the ticket before freeing the key, so that no duplicate answer can cause a dispatch
+  if (!aRequest->ticket->Close()) {
     return;
   }
   if (aAnswer.verdict != Verdict::Lost && aAnswer.maybeRecorded) {
@@ -229,14 +231,14 @@
   }
   kLog.Info("claim {} {}.", ToString(claim.id),
             aAnswer.verdict == Verdict::Lost ? "lost to " + ToString(aAnswer.holder.id)
-                                             : std::string("could not be settled"));
-  aJourney->callback(aAnswer);
+                                             : std::string("was not decided and is refused"));
+  aRequest->callback(aAnswer);
 }
 
 void
 ClaimService::RecordOutcome(const ClaimOutcome& aOutcome)
 {
-  const std::string first = this->BatchersOf(ShardOf(aOutcome.key)).front();
+  const std::string first = this->BatcherDaemons(ShardOf(aOutcome.key)).front();
   const bool isOwn = first == this->hooks.daemonId || this->hooks.forwarder == nullptr;
   if (isOwn || !this->hooks.forwarder->ForwardOutcome(first, aOutcome)) {
     this->ReceiveOutcome(aOutcome);
--- a/Lagoonward/Claims/ClaimService.h
+++ b/Lagoonward/Claims/ClaimService.h
@@ -12,14 +12,14 @@
 
 namespace lagoonward {
 
-/// What claims need from the rest of the daemon.
+/// The parts of the daemon that ClaimService depends on.
 struct ClaimServiceHooks
 {
   std::string region;
   std::string daemonId;    ///< This daemon's id, as in liveDaemons.
-  std::string incarnation; ///< This run of this daemon; never reused.
+  std::string incarnation; ///< Identifies this run of this daemon; never reused.
 
-  /// Ids of the live daemons of the region, this one included. Safe from any thread.
+  /// Returns the ids of the live daemons of the region, including this one. Called from any thread.
   std::function<std::vector<std::string>()> liveDaemons;
 
   ClaimForwarder* forwarder = nullptr; ///< Must outlive the service.
@@ -27,19 +27,20 @@
 
 using ClaimTicketPtr = std::shared_ptr<ClaimTicket>;
 
-/// Claims non-idempotent requests in the log before they are dispatched, so that each runs at most
-/// once. Rendezvous hashing over the region's daemons names two for each shard: claims go to the first
-/// and, if it does not answer, to the second. That keeps the number of appending daemons small; what
-/// is right is decided by the log's order alone. Safe from any thread.
+/// Claims non-idempotent requests in the log before they are dispatched, so that each runs at most once.
+/// Rendezvous hashing over the region's daemons selects two daemons for each shard: claims go to the first
+/// and, if it does not respond, to the second. This keeps the number of appending daemons small; correctness
+/// depends on the order of the log alone. Safe from any thread.
 ///
-/// Use: Claim(); on Won, BeginDispatch() right before the first byte is sent; when the answer is
-/// whole, or it is proven that nothing ran, ReportOutcome(). GiveUp() at any moment before that.
+/// Usage: call Claim(); on Won, call BeginDispatch() right before the first byte is sent; call ReportOutcome()
+/// when the response is complete or it is proven that nothing ran. GiveUp() may be called at any time before
+/// that.
 class ClaimService final : public Service
 {
 public:
   static constexpr std::string_view kName = "claims";
 
-  /// @param aLog  interrupted by Stop(), so not to be shared with services that stop later
+  /// @param aLog  interrupted by Stop(), so it must not be shared with services that stop later
   ClaimService(ClaimSettings aSettings, ClaimServiceHooks aHooks, LogService& aLog,
                const Clock& aClock);
   ~ClaimService() override;
@@ -48,24 +49,24 @@
   [[nodiscard]] Result<void> Start() override;
   void Stop() override;
 
-  /// Claims a key. aCallback is called once, from any thread, perhaps before this returns; not at all
+  /// Claims a key. aCallback is called once, from any thread, possibly before this returns; it is not called
   /// after GiveUp().
-  /// @param aBodyHash    of the request's body
-  /// @param aKeyIssued   when the caller made its key, if it says so; past the lifetime, less a margin
-  ///                     for clocks, the answer is Expired
+  /// @param aBodyHash    hash of the request's body
+  /// @param aKeyIssued   when the caller created its key, if known; a key older than the lifetime, less a
+  ///                     margin for clock differences, is answered with Expired
   ClaimTicketPtr Claim(const ClaimKey& aKey, std::uint64_t aBodyHash, ClaimCallback aCallback,
                        std::optional<WallTime> aKeyIssued = std::nullopt);
 
-  /// To be asked right before the first byte is sent.
-  /// @return whether to dispatch; if not, nothing runs under this ticket and the caller is told so
+  /// Must be called right before the first byte is sent.
+  /// @return whether to dispatch; if false, nothing runs under this ticket and the caller must report that
   [[nodiscard]] bool BeginDispatch(const ClaimTicketPtr& aTicket);
 
-  /// Gives a claim up and frees its key.
-  /// @return whether nothing was dispatched, nor ever will be: the proof of `ran: "no"`
+  /// Withdraws a claim and frees its key.
+  /// @return true if nothing was dispatched and nothing ever will be, which proves `ran: "no"`
   bool GiveUp(const ClaimTicketPtr& aTicket);
 
-  /// Records what became of a dispatched request: Yes when it ran; No only with a proof that it did
-  /// not, which frees the key. Unknown is not recorded, as it is what readers assume.
+  /// Records the outcome of a dispatched request: Yes if it ran; No only with proof that it did not run, which
+  /// frees the key. Unknown is not recorded, because readers assume it by default.
   void ReportOutcome(const ClaimTicketPtr& aTicket, Ran aRan);
 
   /// Batches a claim that another daemon forwarded.
@@ -74,25 +75,25 @@
   /// Records an outcome that another daemon forwarded.
   void ReceiveOutcome(const ClaimOutcome& aOutcome);
 
-  /// Sum over the shards that this daemon batches.
+  /// Counters summed over the shards that this daemon batches.
   [[nodiscard]] ClaimBatcher::Counters GetCounters() const;
 
 private:
-  /// One claim on its way.
-  struct Journey
+  /// A claim in progress.
+  struct ClaimRequest
   {
     ClaimTicketPtr ticket;
     ClaimCallback callback;
-    TimePoint deadline;               ///< On the clock that counts suspension.
-    std::vector<std::string> daemons; ///< Those to ask, the next one first.
-    bool maybeRecorded = false;       ///< An earlier daemon may have recorded it.
+    TimePoint deadline;               ///< On the boot clock, which includes time spent suspended.
+    std::vector<std::string> daemons; ///< Daemons still to ask, in order.
+    bool maybeRecorded = false;       ///< A daemon asked earlier may have recorded the claim.
   };
-  using JourneyPtr = std::shared_ptr<Journey>;
+  using ClaimRequestPtr = std::shared_ptr<ClaimRequest>;
 
-  [[nodiscard]] std::vector<std::string> BatchersOf(std::size_t aShard) const;
-  void Ask(const JourneyPtr& aJourney);
-  void OnAnswer(const JourneyPtr& aJourney, const ClaimAnswer& aAnswer);
-  void Finish(const JourneyPtr& aJourney, ClaimAnswer aAnswer);
+  [[nodiscard]] std::vector<std::string> BatcherDaemons(std::size_t aShard) const;
+  void AskNextDaemon(const ClaimRequestPtr& aRequest);
+  void OnAnswer(const ClaimRequestPtr& aRequest, const ClaimAnswer& aAnswer);
+  void Finish(const ClaimRequestPtr& aRequest, ClaimAnswer aAnswer);
   void RecordOutcome(const ClaimOutcome& aOutcome);
   void Run(ClaimBatcher& aBatcher);
 
@@ -102,7 +103,7 @@
   const Clock& clock;
   std::array<std::unique_ptr<ClaimBatcher>, kClaimShards> batchers;
   std::array<std::thread, kClaimShards> threads;
-  std::atomic<std::uint64_t> nextSequence{ 0 }; ///< Of the next claim.
+  std::atomic<std::uint64_t> nextSequence{ 0 }; ///< Sequence number of the next claim.
   std::atomic<bool> stopping{ false };
 };
 
--- a/Lagoonward/Claims/ClaimTicket.h
+++ b/Lagoonward/Claims/ClaimTicket.h
@@ -6,28 +6,29 @@
 
 namespace lagoonward {
 
-/// The claimant's own record of one claim, and the only way to dispatch under it. Exactly one of
-/// BeginDispatch() and Close() succeeds, so a request that was refused is never dispatched later,
-/// whatever arrives and however long the process was paused. Safe from any thread.
+/// The claimant's local state of one claim; a request can be dispatched only through its ticket. Exactly one
+/// of BeginDispatch() and Close() succeeds, so a request that was refused is never dispatched later, even if
+/// answers arrive late or the process was paused. Safe from any thread.
 class ClaimTicket
 {
 public:
-  /// @param aDispatchBy  on the clock that counts suspension; far below the key's lifetime, so that
-  ///                     a daemon that wakes late does not run what others may claim again
+  /// @param aDispatchBy  deadline on the boot clock, which includes time spent suspended; must be far below
+  ///                     the key's lifetime, so that a daemon that resumes late does not run a request that
+  ///                     others may claim again
   ClaimTicket(Claim aClaim, TimePoint aDispatchBy);
 
   [[nodiscard]] const Claim& GetClaim() const { return this->claim; }
 
-  /// Notes that the claim is first in the log.
-  /// @return false if the ticket was closed before
+  /// Records that the claim is the first of its key in the log.
+  /// @return false if the ticket was already closed
   [[nodiscard]] bool MarkWon();
 
-  /// To be asked right before the first byte is sent.
+  /// Must be called right before the first byte is sent.
   /// @return whether the request may be dispatched; true at most once
   [[nodiscard]] bool BeginDispatch(const Clock& aClock);
 
-  /// Gives the claim up for good.
-  /// @return true if this call closed it: nothing was dispatched, nor ever will be
+  /// Withdraws the claim permanently.
+  /// @return true if this call closed the ticket, so that nothing was dispatched and nothing ever will be
   [[nodiscard]] bool Close();
 
   /// Whether BeginDispatch() has succeeded.
--- a/UnitTests/Claims/ClaimBatcherTests.cpp
+++ b/UnitTests/Claims/ClaimBatcherTests.cpp
@@ -23,7 +23,7 @@
   return MakeClaimKey("vestland", "county", std::to_string(aNumber));
 }
 
-/// A batcher that is stepped by hand.
+/// A batcher whose rounds are run by the test.
 struct Daemon
 {
   Daemon(FakeLogService& aLog, const VirtualClock& aClock, const std::string& aName)
@@ -34,7 +34,7 @@
   }
 
   /// Queues a claim.
-  /// @return where its answer will stand
+  /// @return receives the answer
   std::shared_ptr<std::optional<ClaimAnswer>> Submit(int aKey)
   {
     auto answer = std::make_shared<std::optional<ClaimAnswer>>();
@@ -55,7 +55,7 @@
 
 struct Fixture
 {
-  /// Steps a daemon a few times, with time passing in between.
+  /// Runs rounds of a daemon's batcher, advancing the clock before each.
   void Step(Daemon& aDaemon, int aRounds = 1)
   {
     for (int round = 0; round < aRounds; ++round) {
@@ -74,7 +74,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(ClaimBatcherTests, Fixture)
 
-BOOST_AUTO_TEST_CASE(ClaimsShareOneAppend)
+BOOST_AUTO_TEST_CASE(QueuedClaimsAreWrittenInOneAppend)
 {
   std::vector<std::shared_ptr<std::optional<ClaimAnswer>>> answers;
   answers.reserve(100);
@@ -88,13 +88,13 @@
   BOOST_TEST(this->log.End(kStream) == 1);
   BOOST_TEST(this->first.batcher.GetCounters().claims == 100U);
 
-  // The next append waits for its turn
+  // The next append waits for the flush interval
   const auto next = this->first.Submit(100);
   BOOST_TEST(this->first.batcher.Step().count() > 0);
   BOOST_TEST(!next->has_value());
 }
 
-BOOST_AUTO_TEST_CASE(TwoDaemonsOneKey)
+BOOST_AUTO_TEST_CASE(OneOfTwoDaemonsClaimingAKeyWins)
 {
   const auto winner = this->first.Submit(1);
   const auto loser = this->second.Submit(1);
@@ -106,14 +106,14 @@
   BOOST_TEST((ToError(loser->value(), 1).kind == ErrorKind::OutcomeUnknown));
   BOOST_TEST((ToError(loser->value(), 2).kind == ErrorKind::KeyConflict));
 
-  // The same key once more costs no append
+  // Claiming the same key again needs no append
   const auto again = this->first.Submit(1);
   this->Step(this->first);
   BOOST_TEST((again->value().verdict == Verdict::Lost));
   BOOST_TEST(this->log.End(kStream) == 1);
 }
 
-BOOST_AUTO_TEST_CASE(LostAnswersAreSettledByReading)
+BOOST_AUTO_TEST_CASE(ClaimIsDecidedByReadingWhenTheAppendResponseIsLost)
 {
   for (const auto fault : { Fault::AnswerLost, Fault::Refused, Fault::Late }) {
     const int key = static_cast<int>(fault);
@@ -129,7 +129,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(OutageRefusesAtOnceAndTheKeyIsFreedAfterwards)
+BOOST_AUTO_TEST_CASE(ClaimsAreRefusedDuringAnOutageAndTheKeyIsFreeAfterWithdrawal)
 {
   static_cast<void>(this->first.Submit(0));
   this->Step(this->first);
@@ -143,12 +143,12 @@
   BOOST_TEST(refused->value().maybeRecorded);
   BOOST_TEST((ToError(refused->value(), 1).ran == Ran::No));
 
-  // During the outage: an answer at once
+  // A claim during the outage is answered immediately
   const auto during = this->first.Submit(2);
   BOOST_TEST((during->value().verdict == Verdict::Unavailable));
   BOOST_TEST(!during->value().maybeRecorded);
 
-  // The claimant withdraws; once the log is back, the key can be claimed again
+  // The claimant withdraws; once the log is available again, the key can be claimed
   this->first.batcher.SubmitOutcome({ Key(1), { "d-1", 1 }, Ran::No });
   this->log.SetUnreadable(false);
   this->log.DeliverLate();
@@ -158,9 +158,9 @@
   BOOST_TEST((retried->value().verdict == Verdict::Won));
 }
 
-BOOST_AUTO_TEST_CASE(ClaimWithoutWithdrawalStaysHeldAfterACrash)
+BOOST_AUTO_TEST_CASE(KeyStaysHeldWhenItsClaimantCrashesBeforeDispatch)
 {
-  // The claimant dies between claim and dispatch: nobody may run it again
+  // The claimant crashes between claim and dispatch: no other daemon may run the request
   const auto won = this->first.Submit(1);
   this->Step(this->first);
   BOOST_TEST((won->value().verdict == Verdict::Won));
@@ -169,7 +169,7 @@
   BOOST_TEST((ToError(retried->value(), 1).ran == Ran::Unknown));
 }
 
-BOOST_AUTO_TEST_CASE(ColdBatcherPassesClaimsOnWhileItReads)
+BOOST_AUTO_TEST_CASE(ClaimsAreAnsweredUnreachableWhileTheStreamIsLoaded)
 {
   for (int key = 0; key < 3; ++key) {
     static_cast<void>(this->first.Submit(key));
@@ -182,7 +182,7 @@
   BOOST_TEST((waiting->value().verdict == Verdict::Unreachable));
   BOOST_TEST(!waiting->value().maybeRecorded);
 
-  // Once it has read the stream, it keeps them
+  // After it has read the stream, it answers claims itself
   this->log.SetUnreadable(false);
   this->Step(this->second, 2);
   const auto known = this->second.Submit(1);
@@ -190,7 +190,7 @@
   BOOST_TEST((known->value().verdict == Verdict::Lost));
 }
 
-BOOST_AUTO_TEST_CASE(PausedBatcherReadsOnAfterAGap)
+BOOST_AUTO_TEST_CASE(PausedBatcherContinuesReadingAfterTruncation)
 {
   static_cast<void>(this->first.Submit(1));
   this->Step(this->first);
@@ -205,7 +205,7 @@
   BOOST_TEST((answer->value().verdict == Verdict::Lost));
 }
 
-BOOST_AUTO_TEST_CASE(AtMostOneDispatchPerKeyUnderRandomFaults)
+BOOST_AUTO_TEST_CASE(AtMostOneClaimantDispatchesPerKeyUnderRandomFaults)
 {
   for (unsigned seed = 0; seed < 60; ++seed) {
     std::mt19937 random(seed);
@@ -213,7 +213,7 @@
     FakeLogService faulty;
     std::vector<std::unique_ptr<Daemon>> daemons;
     std::map<int, int> dispatched;
-    std::vector<std::function<void()>> wakeUps; // what paused claimants will do
+    std::vector<std::function<void()>> deferred; // deferred actions of paused claimants
     for (int step = 0; step < 150; ++step) {
       if (daemons.size() < 3 || draw(40) == 0) {
         daemons.push_back(std::make_unique<Daemon>(
@@ -232,10 +232,10 @@
       };
       const bool pauses = draw(4) == 0;
       daemon.batcher.Submit(claim, this->clock.BootNow() + Seconds(1),
-                            [=, &wakeUps](const ClaimAnswer& aAnswer) {
+                            [=, &deferred](const ClaimAnswer& aAnswer) {
                               const bool won = aAnswer.verdict == Verdict::Won;
                               if (pauses) {
-                                wakeUps.emplace_back([settle, won] { settle(won); });
+                                deferred.emplace_back([settle, won] { settle(won); });
                               } else {
                                 settle(won);
                               }
@@ -247,8 +247,8 @@
       }
       this->Step(*daemons[static_cast<std::size_t>(draw(static_cast<int>(daemons.size())))]);
     }
-    for (const auto& wakeUp : wakeUps) {
-      wakeUp();
+    for (const auto& action : deferred) {
+      action();
     }
     for (const auto& [key, count] : dispatched) {
       BOOST_TEST(count <= 1);
--- a/UnitTests/Claims/ClaimLedgerTests.cpp
+++ b/UnitTests/Claims/ClaimLedgerTests.cpp
@@ -17,7 +17,7 @@
   return FromUnixMilliseconds(aSeconds * 1000);
 }
 
-/// A ledger that gets its records one by one.
+/// A ledger to which the test applies records one by one.
 struct Fixture
 {
   void Claim(const std::string& aBy, std::int64_t aAt, std::uint64_t aSequence = 0)
@@ -58,7 +58,7 @@
   BOOST_TEST((log.ledger.Find(kKey, At(104))->ran == Ran::Yes));
 }
 
-BOOST_AUTO_TEST_CASE(WithdrawnClaimFreesTheKeyInAnyOrder)
+BOOST_AUTO_TEST_CASE(WithdrawalFreesTheKeyBeforeOrAfterTheClaim)
 {
   Fixture log;
   log.Claim("a", 100);
@@ -69,7 +69,7 @@
   log.Claim("b", 103);
   BOOST_TEST(log.Holder(103) == "b");
 
-  // Withdrawn before it lands
+  // Withdrawn before the claim is appended
   Fixture late;
   late.Outcome("a", 100, Ran::No);
   late.Claim("a", 101);
@@ -77,7 +77,7 @@
   BOOST_TEST(late.ledger.IsVoid({ "a", 0 }));
 }
 
-BOOST_AUTO_TEST_CASE(LostClaimsKeepAKeyHeld)
+BOOST_AUTO_TEST_CASE(LosingClaimsExtendTheHoldOfAKey)
 {
   Fixture log;
   log.Claim("a", 100);
@@ -88,7 +88,7 @@
   BOOST_TEST(log.Holder(7000 + 3601) == "d");
 }
 
-BOOST_AUTO_TEST_CASE(OldKeysAreForgottenAndShortRetentionIsNoticed)
+BOOST_AUTO_TEST_CASE(ExpiredKeysAreRemovedAndShortLogRetentionIsReported)
 {
   Fixture log;
   log.Claim("a", 100);
@@ -96,10 +96,10 @@
   log.Claim("b", 2000);
   BOOST_TEST(!log.ledger.ObserveStart(1, At(3800)).retentionTooShort);
   BOOST_TEST(log.ledger.ObserveStart(1, At(3600)).retentionTooShort);
-  log.ledger.Forget(At(2000 + 3600));
+  log.ledger.RemoveExpired(At(2000 + 3600));
   BOOST_TEST(log.ledger.Size() == 1U);
   BOOST_TEST(!log.ledger.IsVoid({ "x", 0 }));
-  log.ledger.Forget(At(2000 + 3700));
+  log.ledger.RemoveExpired(At(2000 + 3700));
   BOOST_TEST(log.ledger.Size() == 0U);
   BOOST_TEST(log.ledger.ObserveStart(9, At(6000)).skipped == 6);
   BOOST_TEST(log.ledger.NextOffset() == 9);
@@ -117,13 +117,13 @@
   BOOST_TEST(ledger.NextOffset() == 3);
 }
 
-BOOST_AUTO_TEST_CASE(KeysOfDifferentClientsDiffer)
+BOOST_AUTO_TEST_CASE(ClaimKeysOfDifferentClientsDiffer)
 {
   BOOST_TEST((MakeClaimKey("v", "ab", "c") != MakeClaimKey("v", "a", "bc")));
   BOOST_TEST((MakeClaimKey("v", "a", "k") == MakeClaimKey("v", "a", "k")));
 }
 
-BOOST_AUTO_TEST_CASE(TicketDispatchesOnceOrNever)
+BOOST_AUTO_TEST_CASE(TicketAllowsAtMostOneDispatch)
 {
   VirtualClock clock;
   const auto make = [&] {
@@ -140,7 +140,7 @@
   BOOST_TEST(!closed->MarkWon());
   BOOST_TEST(!closed->BeginDispatch(clock));
 
-  // Suspended past its window, it must not dispatch
+  // A ticket whose dispatch window ended during a suspension must not dispatch
   const auto paused = make();
   BOOST_TEST(paused->MarkWon());
   clock.Suspend(Seconds(6));
--- a/UnitTests/Claims/ClaimServiceTests.cpp
+++ b/UnitTests/Claims/ClaimServiceTests.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// Some daemons of one region that reach each other through memory.
+/// Daemons of one region that forward claims to each other by direct calls.
 class Region final : public ClaimForwarder
 {
 public:
@@ -82,7 +82,7 @@
 
 BOOST_AUTO_TEST_SUITE(ClaimServiceTests)
 
-BOOST_AUTO_TEST_CASE(OneOfAllDaemonsDispatches)
+BOOST_AUTO_TEST_CASE(ExactlyOneDaemonDispatchesAKey)
 {
   Region region(5);
   for (int key = 0; key < 12; ++key) {
@@ -96,7 +96,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(SecondBatcherStepsIn)
+BOOST_AUTO_TEST_CASE(SecondBatcherDaemonIsUsedWhenTheFirstIsUnreachable)
 {
   Region region(5);
   region.unreachable = { "d-0", "d-1" };
@@ -105,11 +105,11 @@
     settled += region.ClaimAt("d-4", key).second.verdict == Verdict::Won ? 1 : 0;
   }
 
-  // Only shards whose both batchers are away are refused
+  // Only claims of shards whose two batcher daemons are both unreachable are refused
   BOOST_TEST(settled > 12);
 }
 
-BOOST_AUTO_TEST_CASE(ClaimGivenUpIsNeverDispatchedAndItsKeyIsFree)
+BOOST_AUTO_TEST_CASE(WithdrawnClaimIsNeverDispatchedAndItsKeyIsFree)
 {
   Region region(2);
   const auto [ticket, answer] = region.ClaimAt("d-0", 1);
@@ -117,7 +117,7 @@
   BOOST_TEST(region.services.at("d-0")->GiveUp(ticket));
   BOOST_TEST(!region.services.at("d-0")->BeginDispatch(ticket));
 
-  // The withdrawal travels with the next append; callers come back meanwhile
+  // The withdrawal is written with the next append; until then callers retry
   Verdict retried = Verdict::Lost;
   for (int attempt = 0; attempt < 1000 && retried != Verdict::Won; ++attempt) {
     retried = region.ClaimAt("d-1", 1).second.verdict;
@@ -125,20 +125,20 @@
   BOOST_TEST((retried == Verdict::Won));
 }
 
-BOOST_AUTO_TEST_CASE(OutcomeIsToldToLaterCallers)
+BOOST_AUTO_TEST_CASE(ReportedOutcomeIsReturnedToLaterCallers)
 {
   Region region(2);
   const auto [ticket, answer] = region.ClaimAt("d-0", 1);
   BOOST_TEST(region.services.at("d-0")->BeginDispatch(ticket));
   region.services.at("d-0")->ReportOutcome(ticket, Ran::Yes);
-  ErrorKind told = ErrorKind::OutcomeUnknown;
-  for (int attempt = 0; attempt < 1000 && told != ErrorKind::AlreadyRan; ++attempt) {
-    told = ToError(region.ClaimAt("d-1", 1).second, 1).kind;
+  ErrorKind kind = ErrorKind::OutcomeUnknown;
+  for (int attempt = 0; attempt < 1000 && kind != ErrorKind::AlreadyRan; ++attempt) {
+    kind = ToError(region.ClaimAt("d-1", 1).second, 1).kind;
   }
-  BOOST_TEST((told == ErrorKind::AlreadyRan));
+  BOOST_TEST((kind == ErrorKind::AlreadyRan));
 }
 
-BOOST_AUTO_TEST_CASE(KeyOlderThanItsLifetimeIsRefusedHonestly)
+BOOST_AUTO_TEST_CASE(ExpiredKeyIsRefusedWithUnknownOutcome)
 {
   Region region(1);
   std::optional<ClaimAnswer> answer;
