--- a/Lagoonward/Claims/ClaimBatcher.h
+++ b/Lagoonward/Claims/ClaimBatcher.h
@@ -113,8 +113,7 @@
   bool wakeRequested = false;
   std::deque<Pending> queue;
   std::deque<ClaimOutcome> outcomes;
-  std::optional<Milliseconds>
-    outageRetryAfter; ///< Retry delay for callers; set while the log is unavailable.
+  std::optional<Milliseconds> outageRetryAfter; ///< For callers; set during a log outage.
   Counters counters;
 };
 
--- a/Lagoonward/Claims/ClaimRecord.h
+++ b/Lagoonward/Claims/ClaimRecord.h
@@ -12,8 +12,7 @@
 struct Claim
 {
   ClaimKey key;
-  std::uint64_t bodyHash =
-    0;         ///< Hash of the request's body; a different body under the same key is refused.
+  std::uint64_t bodyHash = 0; ///< A different body under the same key is refused.
   RecordId id; ///< The claimant's incarnation and a sequence number that it never reuses.
 };
 
