--- a/Lagoonward/Placement/OfferSelector.cpp
+++ b/Lagoonward/Placement/OfferSelector.cpp
@@ -29,7 +29,7 @@
 }
 
 double
-OfferSelector::RiskAdjustedPrice(const Manifest& aManifest, const Price& aOffer) const
+OfferSelector::RiskPrice(const Manifest& aManifest, const Price& aOffer) const
 {
   const double surcharge =
     aOffer.reclaimable ? this->settings.reclaimSurcharge * aManifest.objective.recomputedTokens : 0;
@@ -48,7 +48,7 @@
         continue;
       }
       if (best == nullptr ||
-          this->RiskAdjustedPrice(aManifest, offer) < this->RiskAdjustedPrice(aManifest, *best)) {
+          this->RiskPrice(aManifest, offer) < this->RiskPrice(aManifest, *best)) {
         best = &offer;
       }
       if (offer.machineClass == state.machineClass && offer.reclaimable == state.reclaimable) {
@@ -65,8 +65,8 @@
     }
 
     // Replace the selection only if the same offer stays cheaper throughout `priceSettle`
-    const double saving = 1 - this->RiskAdjustedPrice(aManifest, *best) /
-                                std::max(this->RiskAdjustedPrice(aManifest, *current), 1e-9);
+    const double saving =
+      1 - this->RiskPrice(aManifest, *best) / std::max(this->RiskPrice(aManifest, *current), 1e-9);
     const bool same = state.challengerSince && state.challengerClass == best->machineClass &&
                       state.challengerReclaimable == best->reclaimable;
     if (saving < this->settings.priceHysteresis) {
@@ -100,8 +100,7 @@
     if (isSelected) {
       return offer;
     }
-    if (!best ||
-        this->RiskAdjustedPrice(aManifest, offer) < this->RiskAdjustedPrice(aManifest, *best)) {
+    if (!best || this->RiskPrice(aManifest, offer) < this->RiskPrice(aManifest, *best)) {
       best = offer;
     }
   }
--- a/Lagoonward/Placement/OfferSelector.h
+++ b/Lagoonward/Placement/OfferSelector.h
@@ -23,7 +23,7 @@
                                             const HostStartTracker& aStarts, TimePoint aNow) const;
 
   /// Price per hour including the expected cost of a reclaim.
-  [[nodiscard]] double RiskAdjustedPrice(const Manifest& aManifest, const Price& aOffer) const;
+  [[nodiscard]] double RiskPrice(const Manifest& aManifest, const Price& aOffer) const;
 
   /// Whether the manifest allows the offer.
   [[nodiscard]] static bool IsAllowed(const Manifest& aManifest, const Price& aOffer);
--- a/Lagoonward/Placement/PlacementRound.cpp
+++ b/Lagoonward/Placement/PlacementRound.cpp
@@ -258,8 +258,8 @@
     if (!offer || !expected.IsUseful(domain, available, needed)) {
       continue;
     }
-    const std::pair rank(expected.CountIn(domain), this->placement.offerSelector.RiskAdjustedPrice(
-                                                     this->view.manifest, *offer));
+    const std::pair rank(expected.CountIn(domain),
+                         this->placement.offerSelector.RiskPrice(this->view.manifest, *offer));
     if (!best || rank < bestRank) {
       best = offer;
       bestRank = rank;
--- a/UnitTests/Claims/ClaimBatcherTests.cpp
+++ b/UnitTests/Claims/ClaimBatcherTests.cpp
@@ -205,7 +205,7 @@
   BOOST_TEST((answer->value().verdict == Verdict::Lost));
 }
 
-BOOST_AUTO_TEST_CASE(AtMostOneClaimantDispatchesPerKeyUnderRandomFaults)
+BOOST_AUTO_TEST_CASE(AtMostOneDispatchPerKeyUnderRandomFaults)
 {
   for (unsigned seed = 0; seed < 60; ++seed) {
     std::mt19937 random(seed);
