--- a/Lagoonward/Placement/OfferChoice.cpp
+++ b/Lagoonward/Placement/OfferSelector.cpp
@@ -1,4 +1,4 @@
-#include "Lagoonward/Placement/OfferChoice.h"
+#include "Lagoonward/Placement/OfferSelector.h"
 
 #include <algorithm>
 
@@ -14,13 +14,13 @@
 
 } // namespace
 
-OfferChoice::OfferChoice(const PlacementSettings& aSettings)
+OfferSelector::OfferSelector(const PlacementSettings& aSettings)
   : settings(aSettings)
 {
 }
 
 bool
-OfferChoice::IsAllowed(const Manifest& aManifest, const Price& aOffer)
+OfferSelector::IsAllowed(const Manifest& aManifest, const Price& aOffer)
 {
   const bool classAllowed =
     aManifest.machineClasses.empty() || Contains(aManifest.machineClasses, aOffer.machineClass);
@@ -29,7 +29,7 @@
 }
 
 double
-OfferChoice::RiskPrice(const Manifest& aManifest, const Price& aOffer) const
+OfferSelector::RiskPrice(const Manifest& aManifest, const Price& aOffer) const
 {
   const double surcharge =
     aOffer.reclaimable ? this->settings.reclaimSurcharge * aManifest.objective.recomputedTokens : 0;
@@ -37,12 +37,12 @@
 }
 
 void
-OfferChoice::Observe(const Manifest& aManifest, const std::vector<Price>& aPrices, TimePoint aNow)
+OfferSelector::Observe(const Manifest& aManifest, const std::vector<Price>& aPrices, TimePoint aNow)
 {
   for (const std::string& domain : aManifest.failureDomains) {
     const Price* best = nullptr;
     const Price* current = nullptr;
-    Held& state = this->held[domain];
+    Selection& state = this->selections[domain];
     for (const Price& offer : aPrices) {
       if (offer.failureDomain != domain || !IsAllowed(aManifest, offer)) {
         continue;
@@ -58,45 +58,46 @@
     if (best == nullptr) {
       continue;
     }
-    // No choice yet, or it is no longer offered
+    // No selection yet, or the selected offer is no longer available
     if (current == nullptr) {
-      state = Held{ best->machineClass, best->reclaimable, {}, true, {} };
+      state = Selection{ best->machineClass, best->reclaimable, {}, true, {} };
       continue;
     }
 
-    // Clearly cheaper, and the same rival all the time?
+    // Replace the selection only if the same offer stays cheaper throughout `priceSettle`
     const double saving =
       1 - this->RiskPrice(aManifest, *best) / std::max(this->RiskPrice(aManifest, *current), 1e-9);
-    const bool same = state.rivalSince && state.rivalClass == best->machineClass &&
-                      state.rivalReclaimable == best->reclaimable;
+    const bool same = state.challengerSince && state.challengerClass == best->machineClass &&
+                      state.challengerReclaimable == best->reclaimable;
     if (saving < this->settings.priceHysteresis) {
-      state.rivalSince.reset();
+      state.challengerSince.reset();
     } else if (!same) {
-      state.rivalClass = best->machineClass;
-      state.rivalReclaimable = best->reclaimable;
-      state.rivalSince = aNow;
-    } else if (aNow >= *state.rivalSince + this->settings.priceSettle) {
-      state = Held{ best->machineClass, best->reclaimable, {}, true, {} };
+      state.challengerClass = best->machineClass;
+      state.challengerReclaimable = best->reclaimable;
+      state.challengerSince = aNow;
+    } else if (aNow >= *state.challengerSince + this->settings.priceSettle) {
+      state = Selection{ best->machineClass, best->reclaimable, {}, true, {} };
     }
   }
 }
 
 std::optional<Price>
-OfferChoice::Choose(const Manifest& aManifest, const std::vector<Price>& aPrices,
-                    const std::string& aDomain, const HostStarts& aStarts, TimePoint aNow) const
+OfferSelector::Choose(const Manifest& aManifest, const std::vector<Price>& aPrices,
+                      const std::string& aDomain, const HostStartTracker& aStarts,
+                      TimePoint aNow) const
 {
-  const auto state = this->held.find(aDomain);
+  const auto state = this->selections.find(aDomain);
   std::optional<Price> best;
   for (const Price& offer : aPrices) {
     if (offer.failureDomain != aDomain || !IsAllowed(aManifest, offer) ||
         aStarts.IsPaused(offer, aNow)) {
       continue;
     }
-    // The held offer goes first while it can be had; otherwise the cheapest of the rest
-    const bool isHeld = state != this->held.end() &&
-                        offer.machineClass == state->second.machineClass &&
-                        offer.reclaimable == state->second.reclaimable;
-    if (isHeld) {
+    // Prefer the selected offer while it is available, otherwise use the cheapest remaining one
+    const bool isSelected = state != this->selections.end() &&
+                            offer.machineClass == state->second.machineClass &&
+                            offer.reclaimable == state->second.reclaimable;
+    if (isSelected) {
       return offer;
     }
     if (!best || this->RiskPrice(aManifest, offer) < this->RiskPrice(aManifest, *best)) {
