--- a/Lagoonward/Membership/ControlLoop.cpp
+++ b/Lagoonward/Membership/ControlLoop.cpp
@@ -16,7 +16,7 @@
 constexpr int kEventsPerWait = 64;
 constexpr int kLongestWaitMilliseconds = 1000;
 
-/// Lets one thread wait for a task on another.
+/// Lets one thread wait for a task that runs on another.
 struct Completion
 {
   std::mutex mutex;
@@ -24,7 +24,7 @@
   bool done = false;
 };
 
-/// Completes when the task that owns it goes away.
+/// Signals the completion when the task that owns this guard is destroyed.
 class CompletionGuard
 {
 public:
@@ -90,14 +90,15 @@
 ControlLoop::Start()
 {
   if (!this->poller.IsValid() || !this->wakeUp.IsValid()) {
-    return Error(ErrorKind::Internal, "no descriptors left for the control loop");
+    return Error(ErrorKind::Internal,
+                 "cannot create the epoll and event descriptors of the control loop");
   }
-  auto watched = this->Watch(this->wakeUp.Get(), EPOLLIN, [this](std::uint32_t) {
+  auto watchResult = this->Watch(this->wakeUp.Get(), EPOLLIN, [this](std::uint32_t) {
     std::uint64_t count = 0;
     [[maybe_unused]] const auto bytes = ::read(this->wakeUp.Get(), &count, sizeof(count));
   });
-  if (!watched) {
-    return watched;
+  if (!watchResult) {
+    return watchResult;
   }
   this->running = true;
   this->joinable = true;
@@ -138,7 +139,7 @@
     aTask();
     return;
   }
-  // Released when the task has run, or was dropped at the loop's end
+  // The guard is destroyed after the task has run, or with a task that is dropped when the loop stops
   auto completion = std::make_shared<Completion>();
   this->Post([release = std::make_shared<CompletionGuard>(completion), &aTask] { aTask(); });
   std::unique_lock lock(completion->mutex);
@@ -183,7 +184,7 @@
   event.events = aEvents;
   event.data.fd = aDescriptor;
   if (::epoll_ctl(this->poller.Get(), EPOLL_CTL_ADD, aDescriptor, &event) != 0) {
-    return Error(ErrorKind::Internal, "the descriptor cannot be watched");
+    return Error(ErrorKind::Internal, "cannot add the descriptor to the epoll set");
   }
   this->handlers[aDescriptor] = std::make_shared<DescriptorHandler>(std::move(aHandler));
   return boost::outcome_v2::success();
@@ -214,11 +215,11 @@
 std::chrono::nanoseconds
 ControlLoop::CpuTime() const
 {
-  timespec used{};
-  if (!this->running || clock_gettime(this->cpuClock.load(), &used) != 0) {
+  timespec cpuTime{};
+  if (!this->running || clock_gettime(this->cpuClock.load(), &cpuTime) != 0) {
     return std::chrono::nanoseconds(0);
   }
-  return Seconds(used.tv_sec) + std::chrono::nanoseconds(used.tv_nsec);
+  return Seconds(cpuTime.tv_sec) + std::chrono::nanoseconds(cpuTime.tv_nsec);
 }
 
 const std::shared_ptr<LoopHandle>&
@@ -240,7 +241,7 @@
     const int count =
       ::epoll_wait(this->poller.Get(), events.data(), events.size(), this->WaitMilliseconds());
     for (int index = 0; index < count; ++index) {
-      // A handler may unwatch any descriptor, its own included
+      // A handler may unwatch any descriptor, including its own
       const auto found = this->handlers.find(events.at(index).data.fd);
       if (found != this->handlers.end()) {
         const auto handler = found->second;
@@ -273,7 +274,7 @@
     auto node = this->timers.extract(this->timers.begin());
     Timer& timer = node.mapped();
     if (timer.interval > Milliseconds(0)) {
-      // The next one counts from now: after a pause there is no burst of missed ones
+      // Schedules from now, not from the missed due time, to avoid a burst of runs after a pause
       const TimePoint due = now + timer.interval;
       const Task task = timer.task;
       this->timerDue[timer.id] = due;
@@ -292,8 +293,8 @@
   if (this->timers.empty()) {
     return kLongestWaitMilliseconds;
   }
-  const auto left = this->timers.begin()->first - this->clock.Now();
-  const auto rounded = std::chrono::ceil<Milliseconds>(left).count();
+  const auto remaining = this->timers.begin()->first - this->clock.Now();
+  const auto rounded = std::chrono::ceil<Milliseconds>(remaining).count();
   return static_cast<int>(std::clamp<std::int64_t>(rounded, 0, kLongestWaitMilliseconds));
 }
 
--- a/Lagoonward/Membership/ControlLoop.h
+++ b/Lagoonward/Membership/ControlLoop.h
@@ -18,13 +18,13 @@
 
 class ControlLoop;
 
-/// Lets tasks reach a control loop that may be gone by then. Safe from any thread.
+/// Posts tasks to a control loop that may have been destroyed by then. Safe from any thread.
 class LoopHandle
 {
 public:
   explicit LoopHandle(ControlLoop& aLoop);
 
-  /// Runs a task on the loop soon. @return false when the loop is gone
+  /// Queues a task to run on the loop. @return false if the loop has been destroyed
   bool Post(std::function<void()> aTask);
 
   /// Called by the loop's destructor.
@@ -32,12 +32,12 @@
 
 private:
   std::mutex mutex;
-  ControlLoop* loop; ///< Guarded by mutex; null once the loop is gone.
+  ControlLoop* loop; ///< Guarded by mutex; null once the loop is destroyed.
 };
 
 /// The control thread: one epoll loop with timers and a queue of posted tasks. All control state is
-/// touched only here. Post(), IsInLoop() and CpuTime() are safe from any thread; the rest is called
-/// on the loop, or before Start().
+/// accessed on this thread only. Post(), IsInLoop() and CpuTime() are safe from any thread; the other
+/// methods are called on the loop, or before Start().
 class ControlLoop
 {
 public:
@@ -45,27 +45,27 @@
   using DescriptorHandler = std::function<void(std::uint32_t aEvents)>;
   using TimerId = std::uint64_t;
 
-  /// @param aClock  a clock that moves by itself; timers follow its Now()
+  /// @param aClock  clock of the timers; must advance by itself
   explicit ControlLoop(const Clock& aClock);
   ~ControlLoop();
 
   /// Starts the thread.
   [[nodiscard]] Result<void> Start();
 
-  /// Ends the thread after the task in hand. Tasks still queued are dropped. Safe to call twice.
+  /// Stops the thread after the current task. Tasks still queued are dropped. Safe to call twice.
   void Stop();
 
-  /// Runs a task on the loop soon, in the order of posting.
+  /// Queues a task to run on the loop, in the order of posting.
   void Post(Task aTask);
 
   /// Posts a task and waits until it has run. Runs it directly when called on the loop, or
-  /// when no thread runs. Returns without having run it when the loop ends meanwhile.
+  /// when no thread runs. Returns without having run it if the loop stops meanwhile.
   void Run(const Task& aTask);
 
   /// Runs a task once after a delay.
   TimerId After(Milliseconds aDelay, Task aTask);
 
-  /// Runs a task again and again, the first time after one interval.
+  /// Runs a task periodically, the first time after one interval.
   TimerId Every(Milliseconds aInterval, Task aTask);
 
   void Cancel(TimerId aTimer);
@@ -78,10 +78,10 @@
 
   [[nodiscard]] bool IsInLoop() const;
 
-  /// Processor time that the thread has used so far.
+  /// CPU time that the thread has used so far.
   [[nodiscard]] std::chrono::nanoseconds CpuTime() const;
 
-  /// For callbacks that may come after the loop's end.
+  /// For callbacks that may be invoked after the loop is destroyed.
   [[nodiscard]] const std::shared_ptr<LoopHandle>& Handle() const;
 
 private:
--- a/Lagoonward/Membership/FrameCodec.cpp
+++ b/Lagoonward/Membership/FrameCodec.cpp
@@ -35,7 +35,7 @@
   aBytes.append(reinterpret_cast<const char*>(aTag.data()), aTag.size());
 }
 
-/// What stands before a frame's body.
+/// Header before the body of a frame.
 struct FrameHeader
 {
   std::uint16_t version = kProtocolVersion;
@@ -49,14 +49,14 @@
   }
 };
 
-/// Checks the header, then the tag, and only then decodes the body.
+/// Checks the header and the tag before it decodes the body.
 template<typename Header, typename Body>
 Result<void>
 Open(const KeyRing& aKeys, std::string_view aContext, std::string_view aBytes, Header& aHeader,
      Body& aBody)
 {
   if (aBytes.size() < sizeof(MessageTag)) {
-    return Error(ErrorKind::InvalidRequest, "shorter than its tag");
+    return Error(ErrorKind::InvalidRequest, "message is shorter than an authentication tag");
   }
   const std::string_view signedBytes = aBytes.substr(0, aBytes.size() - sizeof(MessageTag));
   const std::string_view tag = aBytes.substr(signedBytes.size());
@@ -66,17 +66,17 @@
     cereal::PortableBinaryInputArchive archive(stream);
     archive(aHeader);
     if (aHeader.version != kProtocolVersion) {
-      return Error(ErrorKind::InvalidRequest, "another version of the protocol");
+      return Error(ErrorKind::InvalidRequest, "unsupported protocol version");
     }
     if (aHeader.cluster != aKeys.ClusterHash()) {
       return Error(ErrorKind::InvalidRequest, "from another cluster");
     }
     if (!aKeys.Verify(aHeader.keyId, aContext, signedBytes, tag)) {
-      return Error(ErrorKind::Unauthorized, "its tag is wrong");
+      return Error(ErrorKind::Unauthorized, "authentication tag does not match");
     }
     archive(aBody);
     if (buffer.Remaining() != 0) {
-      return Error(ErrorKind::InvalidRequest, "bytes after the message");
+      return Error(ErrorKind::InvalidRequest, "unexpected bytes after the message body");
     }
   } catch (const std::exception& exception) {
     return Error(ErrorKind::InvalidRequest, exception.what());
--- a/Lagoonward/Membership/KeyRing.cpp
+++ b/Lagoonward/Membership/KeyRing.cpp
@@ -12,9 +12,9 @@
 namespace {
 
 void
-UpdateSized(crypto_generichash_state& aState, std::string_view aBytes)
+UpdateLengthPrefixed(crypto_generichash_state& aState, std::string_view aBytes)
 {
-  // The length goes first, so that no two splits of the same bytes give the same tag
+  // Prefixes the length, so that different splits of the same bytes give different tags
   const auto size = static_cast<std::uint32_t>(aBytes.size());
   const std::array<unsigned char, 4> prefix{ static_cast<unsigned char>(size),
                                              static_cast<unsigned char>(size >> 8U),
@@ -31,7 +31,7 @@
 KeyRing::Parse(std::string_view aText, std::string aCluster)
 {
   if (sodium_init() < 0) {
-    return Error(ErrorKind::Internal, "the cryptographic library does not start");
+    return Error(ErrorKind::Internal, "libsodium cannot be initialized");
   }
   KeyRing ring;
   ring.cluster = std::move(aCluster);
@@ -47,20 +47,21 @@
       std::from_chars(item.data(), item.data() + std::min(colon, item.size()), key.id);
     if (colon == std::string_view::npos || parsed.ec != std::errc() ||
         parsed.ptr != item.data() + colon) {
-      return Error(ErrorKind::InvalidSettings, "a cluster key must read ID:HEX, ID from 0 to 255");
+      return Error(ErrorKind::InvalidSettings,
+                   "expected a cluster key as ID:HEX, with ID from 0 to 255");
     }
     const std::string_view digits = item.substr(colon + 1);
     std::size_t decoded = 0;
-    const bool valid = digits.size() == 2 * kKeyBytes &&
-                       sodium_hex2bin(key.bytes.data(), key.bytes.size(), digits.data(),
-                                      digits.size(), nullptr, &decoded, nullptr) == 0 &&
-                       decoded == kKeyBytes;
-    if (!valid) {
-      return Error(ErrorKind::InvalidSettings, "a cluster key must have 64 hexadecimal digits");
+    const bool isValid = digits.size() == 2 * kKeyBytes &&
+                         sodium_hex2bin(key.bytes.data(), key.bytes.size(), digits.data(),
+                                        digits.size(), nullptr, &decoded, nullptr) == 0 &&
+                         decoded == kKeyBytes;
+    if (!isValid) {
+      return Error(ErrorKind::InvalidSettings, "expected a cluster key of 64 hexadecimal digits");
     }
-    const bool taken = std::any_of(ring.keys.begin(), ring.keys.end(),
-                                   [&](const Key& aKey) { return aKey.id == key.id; });
-    if (taken) {
+    const bool isDuplicate = std::any_of(ring.keys.begin(), ring.keys.end(),
+                                         [&](const Key& aKey) { return aKey.id == key.id; });
+    if (isDuplicate) {
       return Error(ErrorKind::InvalidSettings, "two cluster keys have the same id");
     }
     ring.keys.push_back(key);
@@ -108,9 +109,9 @@
   MessageTag tag{};
   crypto_generichash_state state;
   crypto_generichash_init(&state, aKey.bytes.data(), aKey.bytes.size(), tag.size());
-  UpdateSized(state, this->cluster);
-  UpdateSized(state, aContext);
-  UpdateSized(state, aMessage);
+  UpdateLengthPrefixed(state, this->cluster);
+  UpdateLengthPrefixed(state, aContext);
+  UpdateLengthPrefixed(state, aMessage);
   crypto_generichash_final(&state, tag.data(), tag.size());
   return tag;
 }
--- a/Lagoonward/Membership/KeyRing.h
+++ b/Lagoonward/Membership/KeyRing.h
@@ -11,13 +11,13 @@
 
 namespace lagoonward {
 
-/// Tag that proves that a message came from a holder of the cluster's key.
+/// Authentication tag of a message, computed with a key of the cluster.
 using MessageTag = std::array<unsigned char, 16>;
 
-/// The cluster's shared keys. The first one signs; all of them verify. Tags are keyed BLAKE2b
+/// The cluster's shared keys. The first key signs; all keys verify. Tags are keyed BLAKE2b
 /// (libsodium's crypto_generichash), computed over the cluster id, a context and the message.
 ///
-/// Rollover without a gap, each step on all daemons before the next:
+/// Key rollover without rejected messages; each step is completed on all daemons before the next:
 /// 1. append the new key, 2. put it first, 3. remove the old one.
 class KeyRing
 {
@@ -25,20 +25,20 @@
   static constexpr std::size_t kKeyBytes = 32;
 
   /// Reads `ID:HEX[,ID:HEX…]`, with ID from 0 to 255 and HEX 64 digits. The first key signs.
-  /// @return InvalidSettings when the text is malformed or an id stands twice
+  /// @return InvalidSettings if the text is malformed or an id occurs twice
   [[nodiscard]] static Result<KeyRing> Parse(std::string_view aText, std::string aCluster);
 
   /// Id of the key that signs.
   [[nodiscard]] std::uint8_t SigningKey() const;
 
-  /// Short hash of the cluster's id, sent in clear to tell a foreign cluster from a wrong key.
+  /// Short hash of the cluster's id, sent in clear to distinguish another cluster from a wrong key.
   [[nodiscard]] std::uint32_t ClusterHash() const;
 
   /// Tag of a message under the signing key.
   [[nodiscard]] MessageTag Sign(std::string_view aContext, std::string_view aMessage) const;
 
-  /// Whether the tag belongs to the message. Unknown keys verify nothing. Takes the same time
-  /// whichever byte differs.
+  /// Whether the tag matches the message; false for an unknown key. The comparison takes constant
+  /// time.
   [[nodiscard]] bool Verify(std::uint8_t aKeyId, std::string_view aContext,
                             std::string_view aMessage, std::string_view aTag) const;
 
--- a/Lagoonward/Membership/Messages.h
+++ b/Lagoonward/Membership/Messages.h
@@ -11,7 +11,7 @@
 
 namespace lagoonward {
 
-/// Version of the protocol between daemons. Others are refused.
+/// Version of the protocol between daemons. Messages of any other version are rejected.
 inline constexpr std::uint16_t kProtocolVersion = 1;
 
 template<class Archive>
@@ -25,13 +25,13 @@
   SerializeBytes<std::uint8_t>(aArchive, this->region);
 }
 
-/// A change of one daemon's state.
+/// State change of one daemon.
 struct PeerChange
 {
   PeerKey key = 0;
   PeerState state = PeerState::Alive;
   std::uint64_t incarnation = 0;
-  std::optional<PeerInfo> info; ///< Present while the daemon may be unknown to others.
+  std::optional<PeerInfo> info; ///< Present while receivers may not know the daemon.
 
   template<class Archive>
   void serialize(Archive& aArchive)
@@ -39,7 +39,7 @@
     auto hasInfo = static_cast<std::uint8_t>(this->info.has_value());
     aArchive(this->key, this->state, this->incarnation, hasInfo);
     if (this->state > PeerState::Dead || hasInfo > 1) {
-      throw cereal::Exception("bad peer change");
+      throw cereal::Exception("invalid peer change: state or info flag out of range");
     }
     if constexpr (Archive::is_loading::value) {
       if (hasInfo != 0) {
@@ -52,14 +52,14 @@
   }
 };
 
-/// One reading of an endpoint's load. Readings of one endpoint are ordered by the endpoint's own
-/// clock, which is why two watchers never disagree on which is newer. The age travels beside it: the
-/// endpoint's clock is compared with another one only once, by the watcher that took the reading.
+/// One load sample of an endpoint. Samples of one endpoint are ordered by the endpoint's own clock, so
+/// that two daemons that poll it always agree on which sample is newer. The age is sent as a separate
+/// field: the endpoint's clock is compared with another clock only once, by the daemon that polled it.
 struct LoadFact
 {
   EndpointKey key = 0;
   std::uint32_t asOf = 0; ///< Low bits of the endpoint's `as_of_ms`; compared modulo 2^32.
-  std::uint16_t age = 0;  ///< Time since the reading, in units of 10 ms, saturating.
+  std::uint16_t age = 0;  ///< Time since the sample was taken, in units of 10 ms, saturating.
   std::uint16_t waiting = 0;
   std::uint16_t running = 0;
   std::uint8_t kvUsed = 0;   ///< Used share of the KV blocks, in units of 1/255.
@@ -73,16 +73,17 @@
   }
 };
 
-/// Bytes of one LoadFact on the wire.
+/// Encoded size of one LoadFact, in bytes.
 inline constexpr std::size_t kLoadFactBytes = 19;
 
-/// Whether an endpoint may get work. `Leaving` is final; between the others the higher version wins.
+/// Whether an endpoint accepts requests. `Leaving` is final; among the other states the higher version
+/// wins.
 struct StateFact
 {
   EndpointKey key = 0;
   EndpointState state = EndpointState::Live;
   std::uint32_t version = 0;
-  std::uint32_t graceLeft = 0; ///< Milliseconds until a leaving endpoint may vanish; 0: not known.
+  std::uint32_t graceLeft = 0; ///< Milliseconds until a leaving endpoint may terminate; 0: unknown.
 
   template<class Archive>
   void serialize(Archive& aArchive)
@@ -90,16 +91,17 @@
     auto wireState = static_cast<std::uint8_t>(this->state);
     aArchive(this->key, wireState, this->version, this->graceLeft);
     if (wireState > static_cast<std::uint8_t>(EndpointState::Ejected)) {
-      throw cereal::Exception("bad endpoint state");
+      throw cereal::Exception("invalid endpoint state: value out of range");
     }
     this->state = static_cast<EndpointState>(wireState);
   }
 };
 
-/// Bytes of one StateFact on the wire.
+/// Encoded size of one StateFact, in bytes.
 inline constexpr std::size_t kStateFactBytes = 13;
 
-/// Newest version of a shared state that the sender has, for example a market's configuration.
+/// Announces the newest version of a shared state that the sender has, for example of a market's
+/// configuration.
 struct VersionNote
 {
   std::uint64_t topic = 0; ///< Hash of the state's name.
@@ -112,28 +114,28 @@
   }
 };
 
-/// Bytes of one VersionNote on the wire.
+/// Encoded size of one VersionNote, in bytes.
 inline constexpr std::size_t kVersionNoteBytes = 16;
 
-/// What a datagram asks for.
+/// Purpose of a datagram.
 enum class DatagramKind : std::uint8_t
 {
-  Ping,         ///< Answer with an Ack.
-  Ack,          ///< Answers a Ping of that nonce.
-  IndirectPing, ///< Ping the subject for the sender.
-  IndirectAck,  ///< The subject answered.
-  Spread,       ///< Only carries news.
+  Ping,         ///< Requests an Ack.
+  Ack,          ///< Response to the Ping with the same nonce.
+  IndirectPing, ///< Requests a Ping of the subject on the sender's behalf.
+  IndirectAck,  ///< Reports that the subject responded.
+  Spread,       ///< Only disseminates updates.
 };
 
-/// The one datagram between daemons; every kind carries news beside its purpose.
+/// The datagram format between daemons. Every kind also carries piggybacked updates.
 struct Datagram
 {
   DatagramKind kind = DatagramKind::Spread;
-  std::uint32_t nonce = 0;            ///< Repeated in the answer. Not in Spread.
+  std::uint32_t nonce = 0;            ///< Echoed in the response. Not in Spread.
   PeerKey subject = 0;                ///< Only in indirect kinds.
-  std::uint64_t incarnation = 0;      ///< The sender's own. Not in Spread.
-  PeerState state = PeerState::Alive; ///< The sender's own: Alive or Leaving. Not in Spread.
-  std::uint64_t digest = 0;           ///< Of all states and versions known. Not in Spread.
+  std::uint64_t incarnation = 0;      ///< Of the sender. Not in Spread.
+  PeerState state = PeerState::Alive; ///< Of the sender: Alive or Leaving. Not in Spread.
+  std::uint64_t digest = 0; ///< Of all states and versions that the sender knows. Not in Spread.
   std::vector<PeerChange> peers;
   std::vector<StateFact> states;
   std::vector<LoadFact> loads;
@@ -149,13 +151,13 @@
   {
     aArchive(this->kind);
     if (this->kind > DatagramKind::Spread) {
-      throw cereal::Exception("bad datagram kind");
+      throw cereal::Exception("invalid datagram: kind out of range");
     }
     if (this->kind != DatagramKind::Spread) {
       aArchive(this->nonce, this->incarnation, this->state, this->digest);
     }
     if (this->state > PeerState::Leaving) {
-      throw cereal::Exception("bad sender state");
+      throw cereal::Exception("invalid datagram: sender state is neither alive nor leaving");
     }
     if (this->IsIndirect()) {
       aArchive(this->subject);
@@ -171,9 +173,9 @@
 enum class FrameKind : std::uint8_t
 {
   Request,
-  Answer,  ///< Bytes are the answer.
-  Failure, ///< Type is an ErrorKind, bytes are its message.
-  Opening, ///< Says only who connects, before a frame that nobody would take from a stranger.
+  Answer,  ///< Bytes are the response body.
+  Failure, ///< Type is an ErrorKind, bytes are the error message.
+  Hello, ///< Only authenticates the connecting side, before a first frame over `maximumFirstFrame`.
 };
 
 /// One message on a TCP connection.
@@ -181,7 +183,7 @@
 {
   FrameKind kind = FrameKind::Request;
   PeerKey sender = 0;
-  std::uint64_t number = 0; ///< Chosen by the asking side, repeated in the answer.
+  std::uint64_t number = 0; ///< Chosen by the requesting side, echoed in the response.
   std::uint16_t type = 0;   ///< RequestType of a request, ErrorKind of a failure.
   std::string bytes;
 
@@ -189,21 +191,21 @@
   void serialize(Archive& aArchive)
   {
     aArchive(this->kind, this->sender, this->number, this->type);
-    if (this->kind > FrameKind::Opening) {
-      throw cereal::Exception("bad frame kind");
+    if (this->kind > FrameKind::Hello) {
+      throw cereal::Exception("invalid frame: kind out of range");
     }
     SerializeBytes<std::uint32_t>(aArchive, this->bytes);
   }
 };
 
-/// What changes rarely about an endpoint; loads name it by hash.
+/// The rarely changing properties of an endpoint. Load samples refer to it by hash.
 struct EndpointProfile
 {
   std::string role;
   std::int64_t kvBlocksTotal = 0;
   std::vector<LoadedModel> models;
 
-  /// Stable over daemons; zero stands for "none known".
+  /// Equal on all daemons; zero means that no profile is known.
   [[nodiscard]] std::uint32_t Hash() const;
 
   template<class Archive>
@@ -232,12 +234,12 @@
   SerializeList<std::uint8_t>(aArchive, aModel.adapters);
 }
 
-/// Everything that a daemon tells another that joins, or that has missed news.
+/// State that a daemon sends to one that joins or that has missed updates.
 struct StateExchange
 {
-  std::vector<PeerChange> peers; ///< With their info; only in the answer to Join.
-  std::vector<StateFact> states; ///< Endpoints that are not plainly live.
-  std::vector<LoadFact> loads;   ///< Only in the answer to Join.
+  std::vector<PeerChange> peers; ///< With their info; only in the response to Join.
+  std::vector<StateFact> states; ///< Endpoints whose state differs from the initial live state.
+  std::vector<LoadFact> loads;   ///< Only in the response to Join.
   std::vector<VersionNote> versions;
 
   template<class Archive>
@@ -250,8 +252,8 @@
   }
 };
 
-/// Names one thing by its 64-bit hash: a shared state's topic, or a profile.
-struct LookUp
+/// Requests one item by its 64-bit hash: a shared state by its topic, or a profile.
+struct LookupRequest
 {
   std::uint64_t key = 0;
 
@@ -262,15 +264,15 @@
   }
 };
 
-/// A named value with a version, spread to every daemon; the higher version wins everywhere. The
-/// configuration of a market travels this way, its version being the log offset.
+/// A named, versioned value that is replicated to every daemon; the higher version wins. Distributes
+/// the configurations of markets, with the log offset as version.
 struct SharedState
 {
   std::string name;
   std::int64_t version = -1;
   std::string bytes;
 
-  /// States whose name begins like this stay within their region.
+  /// States whose name has this prefix are replicated within their region only.
   static constexpr std::string_view kRegionalPrefix = "region/";
 
   [[nodiscard]] std::uint64_t Topic() const { return HashBytes(this->name); }
--- a/Lagoonward/Membership/PeerConnection.cpp
+++ b/Lagoonward/Membership/PeerConnection.cpp
@@ -13,10 +13,10 @@
 constexpr std::size_t kReadBytes = 16384;
 constexpr int kReadsPerWake = 16;
 constexpr std::uint64_t kSegmentHeaderBytes = 40;
-constexpr std::size_t kFrameOverhead = 64; ///< No frame adds more to its bytes.
+constexpr std::size_t kFrameOverhead = 64; ///< Upper bound of what framing adds to the payload.
 
 bool
-WouldBlock(int aError)
+IsTransient(int aError)
 {
   return aError == EAGAIN || aError == EWOULDBLOCK || aError == EINTR;
 }
@@ -47,7 +47,7 @@
   }
   this->lastActive = aNow;
   if (!this->HasNonce()) {
-    this->waiting.push_back(aFrame);
+    this->unsealedFrames.push_back(aFrame);
     return true;
   }
   this->SealNext(aFrame);
@@ -60,7 +60,7 @@
   std::array<char, kReadBytes> buffer;
   for (int round = 0; round < kReadsPerWake; ++round) {
     const auto count = ::recv(this->socket.Get(), buffer.data(), buffer.size(), 0);
-    if (count == 0 || (count < 0 && !WouldBlock(errno))) {
+    if (count == 0 || (count < 0 && !IsTransient(errno))) {
       return false;
     }
     if (count < 0) {
@@ -72,7 +72,7 @@
       this->partialSince = aNow;
     }
     this->incoming.append(buffer.data(), static_cast<std::size_t>(count));
-    if (!this->TakeNonce() || !this->TakeFrames(aFrames)) {
+    if (!this->ParseNonce() || !this->ParseFrames(aFrames)) {
       return false;
     }
   }
@@ -86,7 +86,7 @@
     const auto count = ::send(this->socket.Get(), this->outgoing.data() + this->written,
                               this->outgoing.size() - this->written, MSG_NOSIGNAL);
     if (count < 0) {
-      return WouldBlock(errno) || errno == ENOTCONN;
+      return IsTransient(errno) || errno == ENOTCONN;
     }
     this->written += static_cast<std::size_t>(count);
     this->sentBytes += static_cast<std::uint64_t>(count) + kSegmentHeaderBytes;
@@ -99,7 +99,8 @@
 bool
 PeerConnection::IsExpired(TimePoint aNow) const
 {
-  // A stranger must prove itself in time; a known peer must end the frame that it has begun
+  // An unauthenticated peer must send its first frame in time; an authenticated one must complete a frame that it
+  // has begun
   const bool incomplete = this->framesReceived == 0 || !this->incoming.empty();
   if (incomplete && aNow - this->partialSince > this->settings.frameTimeout) {
     return true;
@@ -144,7 +145,7 @@
 }
 
 bool
-PeerConnection::TakeNonce()
+PeerConnection::ParseNonce()
 {
   if (this->HasNonce() || this->incoming.size() < kNonceBytes) {
     return true;
@@ -152,16 +153,16 @@
   this->nonce = this->incoming.substr(0, kNonceBytes);
   this->incoming.erase(0, kNonceBytes);
 
-  // What was queued meanwhile can be sealed now
-  for (const Frame& frame : this->waiting) {
+  // Frames queued before the nonce arrived can be sealed now
+  for (const Frame& frame : this->unsealedFrames) {
     this->SealNext(frame);
   }
-  this->waiting.clear();
+  this->unsealedFrames.clear();
   return this->Write();
 }
 
 bool
-PeerConnection::TakeFrames(std::vector<Frame>& aFrames)
+PeerConnection::ParseFrames(std::vector<Frame>& aFrames)
 {
   if (!this->HasNonce()) {
     return true;
@@ -201,11 +202,12 @@
 void
 PeerConnection::SealNext(const Frame& aFrame)
 {
-  // The accepting side takes no large frame from whom it does not know yet, on the next connection neither
+  // The accepting side closes the connection on a first frame over maximumFirstFrame, since the sender is not
+  // authenticated yet. A retry on a new connection would fail alike, so a small frame is sent first.
   const std::size_t size = aFrame.bytes.size() + kFrameOverhead;
   if (this->framesSent == 0 && this->side == Side::Connecting &&
       size > this->settings.maximumFirstFrame) {
-    this->Seal(Frame{ FrameKind::Opening, aFrame.sender, 0, 0, {} });
+    this->Seal(Frame{ FrameKind::Hello, aFrame.sender, 0, 0, {} });
   }
   this->Seal(aFrame);
 }
--- a/Lagoonward/Membership/PeerExchange.cpp
+++ b/Lagoonward/Membership/PeerExchange.cpp
@@ -6,21 +6,21 @@
 
 namespace {
 
-/// Error of a request whose bytes make no sense.
+/// Error for a request that cannot be decoded.
 Error
-Malformed()
+MalformedRequest()
 {
-  return { ErrorKind::InvalidRequest, "the request cannot be decoded" };
+  return { ErrorKind::InvalidRequest, "the request body cannot be decoded" };
 }
 
 } // namespace
 
 PeerExchange::PeerExchange(const Clock& aClock, Parts aParts, const MembershipSettings& aSettings,
-                           std::function<void()> aNews)
+                           std::function<void()> aOnUpdate)
   : clock(aClock)
   , parts(aParts)
   , settings(aSettings)
-  , news(std::move(aNews))
+  , onUpdate(std::move(aOnUpdate))
   , log("membership")
   , digestSince(aClock.Now())
   , lastRepair(aClock.Now())
@@ -34,23 +34,23 @@
   PeerTransport& transport = this->parts.transport;
   transport.OnRequest(RequestType::Join,
                       [this](PeerKey, std::string_view aBytes, const Respond& aRespond) {
-                        this->AnswerJoin(aBytes, aRespond);
+                        this->HandleJoin(aBytes, aRespond);
                       });
   transport.OnRequest(RequestType::States,
                       [this](PeerKey aSender, std::string_view aBytes, const Respond& aRespond) {
-                        this->AnswerStates(aSender, aBytes, aRespond);
+                        this->HandleStates(aSender, aBytes, aRespond);
                       });
   transport.OnRequest(RequestType::SharedState,
                       [this](PeerKey, std::string_view aBytes, const Respond& aRespond) {
-                        this->AnswerSharedState(aBytes, aRespond);
+                        this->HandleSharedState(aBytes, aRespond);
                       });
   transport.OnRequest(RequestType::Models,
                       [this](PeerKey, std::string_view aBytes, const Respond& aRespond) {
-                        this->AnswerProfile(aBytes, aRespond);
+                        this->HandleProfile(aBytes, aRespond);
                       });
   transport.OnRequest(RequestType::SoftRecord,
                       [this](PeerKey, std::string_view aBytes, const Respond& aRespond) {
-                        this->AnswerRecord(aBytes, aRespond);
+                        this->HandleRecord(aBytes, aRespond);
                       });
 }
 
@@ -66,7 +66,7 @@
   }
   this->lastJoin = now;
 
-  // A daemon of the region first; another one at each attempt
+  // Tries the daemons of the region first, a different one at each attempt
   const PeerKey self = all.front().key;
   const std::size_t attempt = this->joinAttempts++;
   const auto own = std::find(region.begin(), region.end(), self) - region.begin();
@@ -75,17 +75,17 @@
     hasRegion
       ? region[(static_cast<std::size_t>(own) + 1 + attempt % (region.size() - 1)) % region.size()]
       : all[1 + attempt % (all.size() - 1)].key;
-  this->Ask(peer, RequestType::Join, EncodeMessage(all.front()),
-            [this, peer](const Result<std::string>& aAnswer) {
-              if (!aAnswer) {
-                return;
-              }
-              const auto exchange = DecodeMessage<StateExchange>(aAnswer.value());
-              if (exchange) {
-                this->joined = true;
-                this->TakeExchange(peer, exchange.value());
-              }
-            });
+  this->SendRequest(peer, RequestType::Join, EncodeMessage(all.front()),
+                    [this, peer](const Result<std::string>& aResponse) {
+                      if (!aResponse) {
+                        return;
+                      }
+                      const auto exchange = DecodeMessage<StateExchange>(aResponse.value());
+                      if (exchange) {
+                        this->joined = true;
+                        this->ApplyExchange(peer, exchange.value());
+                      }
+                    });
 }
 
 void
@@ -93,15 +93,15 @@
 {
   const TimePoint now = this->clock.Now();
   const std::uint64_t own = this->DigestFor(aPeer);
-  const std::uint64_t whole =
+  const std::uint64_t fullDigest =
     CombineHashes(this->parts.loads.StateDigest(), this->parts.states.Digest(true));
-  if (whole != this->lastDigest) {
-    this->lastDigest = whole;
+  if (fullDigest != this->lastDigest) {
+    this->lastDigest = fullDigest;
     this->digestSince = now;
   }
-  // News on its way settles most differences
-  const bool isSettled = now - this->digestSince >= this->settings.repairPatience;
-  if (aDigest != own && isSettled && now - this->lastRepair >= this->settings.repairInterval) {
+  // Updates in flight resolve most differences without a repair
+  const bool isStable = now - this->digestSince >= this->settings.repairPatience;
+  if (aDigest != own && isStable && now - this->lastRepair >= this->settings.repairInterval) {
     this->Repair(aPeer);
   }
 }
@@ -114,13 +114,13 @@
   if (!this->parts.states.IsNews(aNote) || !this->BeginFetch(fetchKey)) {
     return;
   }
-  this->Ask(aPeer, RequestType::SharedState, EncodeMessage(LookUp{ aNote.topic }),
-            [this, fetchKey](const Result<std::string>& aAnswer) {
-              this->fetching.erase(fetchKey);
-              if (aAnswer) {
-                this->AdoptState(aAnswer.value());
-              }
-            });
+  this->SendRequest(aPeer, RequestType::SharedState, EncodeMessage(LookupRequest{ aNote.topic }),
+                    [this, fetchKey](const Result<std::string>& aResponse) {
+                      this->pendingFetches.erase(fetchKey);
+                      if (aResponse) {
+                        this->ApplySharedState(aResponse.value());
+                      }
+                    });
 }
 
 PeerExchange::Notes
@@ -143,53 +143,53 @@
       !this->BeginFetch(aProfile)) {
     return;
   }
-  this->Ask(aPeer, RequestType::Models, EncodeMessage(LookUp{ aProfile }),
-            [this, aProfile](const Result<std::string>& aAnswer) {
-              this->fetching.erase(aProfile);
-              if (!aAnswer) {
-                return;
-              }
-              auto profile = DecodeMessage<EndpointProfile>(aAnswer.value());
-              if (profile && profile.value().Hash() == aProfile) {
-                this->parts.loads.AddProfile(std::move(profile.value()));
-              }
-            });
+  this->SendRequest(aPeer, RequestType::Models, EncodeMessage(LookupRequest{ aProfile }),
+                    [this, aProfile](const Result<std::string>& aResponse) {
+                      this->pendingFetches.erase(aProfile);
+                      if (!aResponse) {
+                        return;
+                      }
+                      auto profile = DecodeMessage<EndpointProfile>(aResponse.value());
+                      if (profile && profile.value().Hash() == aProfile) {
+                        this->parts.loads.AddProfile(std::move(profile.value()));
+                      }
+                    });
 }
 
 void
 PeerExchange::PlaceRecord(const SoftRecord& aRecord, PeerKey aHolder)
 {
-  this->Ask(aHolder, RequestType::SoftRecord, EncodeMessage(RecordRequest{ true, aRecord }),
-            [](const Result<std::string>&) {});
+  this->SendRequest(aHolder, RequestType::SoftRecord, EncodeMessage(RecordRequest{ true, aRecord }),
+                    [](const Result<std::string>&) {});
 }
 
 void
-PeerExchange::FindRecord(std::uint64_t aKeyHash, std::vector<PeerKey> aHolders, Found aFound)
+PeerExchange::FindRecord(std::uint64_t aKeyHash, std::vector<PeerKey> aHolders, Found aHandler)
 {
   if (auto own = this->parts.records.Find(aKeyHash)) {
-    aFound(std::move(own));
+    aHandler(std::move(own));
     return;
   }
   if (aHolders.empty()) {
-    aFound(std::nullopt);
+    aHandler(std::nullopt);
     return;
   }
   const PeerKey holder = aHolders.front();
   aHolders.erase(aHolders.begin());
   RecordRequest request;
   request.record.keyHash = aKeyHash;
-  this->Ask(holder, RequestType::SoftRecord, EncodeMessage(request),
-            [this, aKeyHash, rest = std::move(aHolders),
-             found = std::move(aFound)](const Result<std::string>& aAnswer) {
-              if (aAnswer) {
-                const auto record = DecodeMessage<SoftRecord>(aAnswer.value());
-                if (record && record.value().keyHash == aKeyHash) {
-                  found(record.value());
-                  return;
-                }
-              }
-              this->FindRecord(aKeyHash, rest, found);
-            });
+  this->SendRequest(holder, RequestType::SoftRecord, EncodeMessage(request),
+                    [this, aKeyHash, rest = std::move(aHolders),
+                     handler = std::move(aHandler)](const Result<std::string>& aResponse) {
+                      if (aResponse) {
+                        const auto record = DecodeMessage<SoftRecord>(aResponse.value());
+                        if (record && record.value().keyHash == aKeyHash) {
+                          handler(record.value());
+                          return;
+                        }
+                      }
+                      this->FindRecord(aKeyHash, rest, handler);
+                    });
 }
 
 std::uint64_t
@@ -202,11 +202,11 @@
 }
 
 void
-PeerExchange::AnswerJoin(std::string_view aBytes, const PeerTransport::Respond& aRespond)
+PeerExchange::HandleJoin(std::string_view aBytes, const PeerTransport::Respond& aRespond)
 {
   const auto joiner = DecodeMessage<PeerChange>(aBytes);
   if (!joiner) {
-    aRespond(Malformed());
+    aRespond(MalformedRequest());
     return;
   }
   this->parts.peers.Apply(joiner.value());
@@ -220,50 +220,52 @@
 }
 
 void
-PeerExchange::AnswerStates(PeerKey aSender, std::string_view aBytes,
+PeerExchange::HandleStates(PeerKey aSender, std::string_view aBytes,
                            const PeerTransport::Respond& aRespond)
 {
   const auto exchange = DecodeMessage<StateExchange>(aBytes);
   if (!exchange) {
-    aRespond(Malformed());
+    aRespond(MalformedRequest());
     return;
   }
-  this->TakeExchange(aSender, exchange.value());
+  this->ApplyExchange(aSender, exchange.value());
   aRespond(EncodeMessage(this->CollectStates(this->parts.peers.IsRegional(aSender))));
 }
 
 void
-PeerExchange::AnswerSharedState(std::string_view aBytes, const PeerTransport::Respond& aRespond)
+PeerExchange::HandleSharedState(std::string_view aBytes, const PeerTransport::Respond& aRespond)
 {
-  const auto wanted = DecodeMessage<LookUp>(aBytes);
-  const SharedState* const state = wanted ? this->parts.states.Find(wanted.value().key) : nullptr;
+  const auto lookup = DecodeMessage<LookupRequest>(aBytes);
+  const SharedState* const state = lookup ? this->parts.states.Find(lookup.value().key) : nullptr;
   if (state == nullptr) {
-    aRespond(Error(ErrorKind::InvalidRequest, "no such shared state"));
+    aRespond(
+      Error(ErrorKind::InvalidRequest, "no shared state with the requested topic is known here"));
     return;
   }
   aRespond(EncodeMessage(*state));
 }
 
 void
-PeerExchange::AnswerProfile(std::string_view aBytes, const PeerTransport::Respond& aRespond)
+PeerExchange::HandleProfile(std::string_view aBytes, const PeerTransport::Respond& aRespond)
 {
-  const auto wanted = DecodeMessage<LookUp>(aBytes);
+  const auto lookup = DecodeMessage<LookupRequest>(aBytes);
   const EndpointProfile* const profile =
-    wanted ? this->parts.loads.FindProfile(static_cast<std::uint32_t>(wanted.value().key))
+    lookup ? this->parts.loads.FindProfile(static_cast<std::uint32_t>(lookup.value().key))
            : nullptr;
   if (profile == nullptr) {
-    aRespond(Error(ErrorKind::InvalidRequest, "no such profile"));
+    aRespond(Error(ErrorKind::InvalidRequest,
+                   "no endpoint profile with the requested hash is known here"));
     return;
   }
   aRespond(EncodeMessage(*profile));
 }
 
 void
-PeerExchange::AnswerRecord(std::string_view aBytes, const PeerTransport::Respond& aRespond)
+PeerExchange::HandleRecord(std::string_view aBytes, const PeerTransport::Respond& aRespond)
 {
   const auto request = DecodeMessage<RecordRequest>(aBytes);
   if (!request) {
-    aRespond(Malformed());
+    aRespond(MalformedRequest());
     return;
   }
   if (request.value().isPlacement) {
@@ -273,7 +275,8 @@
   }
   const auto record = this->parts.records.Find(request.value().record.keyHash);
   if (!record) {
-    aRespond(Error(ErrorKind::InvalidRequest, "no such record"));
+    aRespond(
+      Error(ErrorKind::InvalidRequest, "no soft record with the requested key is held here"));
     return;
   }
   aRespond(EncodeMessage(*record));
@@ -284,18 +287,19 @@
 {
   this->lastRepair = this->clock.Now();
   const bool isRegional = this->parts.peers.IsRegional(aPeer);
-  this->Ask(aPeer, RequestType::States, EncodeMessage(this->CollectStates(isRegional)),
-            [this, aPeer](const Result<std::string>& aAnswer) {
-              const auto exchange = aAnswer ? DecodeMessage<StateExchange>(aAnswer.value())
-                                            : Result<StateExchange>(aAnswer.error());
-              if (exchange) {
-                this->TakeExchange(aPeer, exchange.value());
-              }
-            });
+  this->SendRequest(aPeer, RequestType::States, EncodeMessage(this->CollectStates(isRegional)),
+                    [this, aPeer](const Result<std::string>& aResponse) {
+                      const auto exchange = aResponse
+                                              ? DecodeMessage<StateExchange>(aResponse.value())
+                                              : Result<StateExchange>(aResponse.error());
+                      if (exchange) {
+                        this->ApplyExchange(aPeer, exchange.value());
+                      }
+                    });
 }
 
 void
-PeerExchange::TakeExchange(PeerKey aPeer, const StateExchange& aExchange)
+PeerExchange::ApplyExchange(PeerKey aPeer, const StateExchange& aExchange)
 {
   for (const PeerChange& change : aExchange.peers) {
     this->parts.peers.Apply(change);
@@ -310,11 +314,11 @@
   for (const VersionNote& note : aExchange.versions) {
     this->TakeNote(aPeer, note);
   }
-  this->news();
+  this->onUpdate();
 }
 
 void
-PeerExchange::AdoptState(std::string_view aBytes)
+PeerExchange::ApplySharedState(std::string_view aBytes)
 {
   auto state = DecodeMessage<SharedState>(aBytes);
   if (!state) {
@@ -322,17 +326,18 @@
   }
   if (this->parts.states.Adopt(state.value())) {
     this->QueueNote(state.value());
-    this->news();
+    this->onUpdate();
   }
 }
 
 void
-PeerExchange::Ask(PeerKey aPeer, RequestType aType, std::string aBytes,
-                  PeerTransport::AnswerHandler aHandler)
+PeerExchange::SendRequest(PeerKey aPeer, RequestType aType, std::string aBytes,
+                          PeerTransport::ResponseHandler aHandler)
 {
   const Peer* const peer = this->parts.peers.Find(aPeer);
   if (peer == nullptr) {
-    aHandler(Error(ErrorKind::PlatformUnavailable, "that daemon is not known"));
+    aHandler(Error(ErrorKind::PlatformUnavailable,
+                   "the request was not sent: the daemon is not in the peer table"));
     return;
   }
   this->parts.transport.Request({ aPeer, peer->info.address, peer->info.port }, aType,
@@ -344,10 +349,10 @@
 PeerExchange::BeginFetch(std::uint64_t aKey)
 {
   const TimePoint now = this->clock.Now();
-  std::erase_if(this->fetching, [&](const auto& aItem) {
+  std::erase_if(this->pendingFetches, [&](const auto& aItem) {
     return now - aItem.second > 2 * this->settings.requestTimeout;
   });
-  return this->fetching.emplace(aKey, now).second;
+  return this->pendingFetches.emplace(aKey, now).second;
 }
 
 StateExchange
--- a/Lagoonward/Membership/PeerExchange.h
+++ b/Lagoonward/Membership/PeerExchange.h
@@ -15,13 +15,13 @@
 
 namespace lagoonward {
 
-/// What daemons exchange over TCP, because it is too large for a datagram or must be answered: all
-/// that a joining daemon needs, repairs of missed news, shared states, endpoint profiles and soft
-/// records. Lives on the control thread.
+/// Request handlers and requests for the state that daemons exchange over TCP, because it is too large for
+/// a datagram or needs a response: the initial state of a joining daemon, repairs after missed updates,
+/// shared states, endpoint profiles and soft records. Used on the control thread only.
 class PeerExchange
 {
 public:
-  /// The parts it reads and fills. All outlive it.
+  /// The components that it reads and updates. All outlive it.
   struct Parts
   {
     PeerTransport& transport;
@@ -33,24 +33,25 @@
 
   using Found = std::function<void(std::optional<SoftRecord> aRecord)>;
 
-  /// @param aNews  called after something new was taken in, so that it is passed on
+  /// @param aOnUpdate  called after received state was applied, so that it is disseminated further
   PeerExchange(const Clock& aClock, Parts aParts, const MembershipSettings& aSettings,
-               std::function<void()> aNews);
+               std::function<void()> aOnUpdate);
 
-  /// Registers the handlers of this side with the transport.
+  /// Registers the request handlers with the transport.
   void Register();
 
-  /// Asks one daemon for all that it knows, once; the next one when that fails.
+  /// Requests the full state from one daemon. Stops after one success; after a failure, a later call
+  /// tries the next daemon.
   void JoinIfNeeded();
 
-  /// Compares a digest that a peer sent. When the two have differed for a while without news, both
-  /// tell each other their states and versions.
+  /// Compares a peer's digest with the local one. If they still differ after the local digest has been
+  /// unchanged for a while, both sides exchange their states and versions.
   void CompareDigest(PeerKey aPeer, std::uint64_t aDigest);
 
-  /// Takes a version that a peer has; fetches the state when it is newer.
+  /// Handles the announcement of a version that a peer has; fetches the state if it is newer.
   void TakeNote(PeerKey aPeer, const VersionNote& aNote);
 
-  /// Versions to pass on with the next news.
+  /// Versions to announce with the next updates.
   struct Notes
   {
     std::vector<VersionNote> regional; ///< For this region only.
@@ -58,46 +59,47 @@
   };
   [[nodiscard]] Notes TakeNotes();
 
-  /// Queues a state's version to be passed on.
+  /// Queues the announcement of a state's version.
   void QueueNote(const SharedState& aState);
 
-  /// Fetches a profile that a load names and that is not known here.
+  /// Fetches a profile that a load sample refers to and that is not known here.
   void FetchProfile(PeerKey aPeer, std::uint32_t aProfile);
 
-  /// Sends a record to its holder, or keeps it when that is this daemon.
+  /// Sends a record to the daemon that is to hold it.
   void PlaceRecord(const SoftRecord& aRecord, PeerKey aHolder);
 
-  /// Asks the daemons one after the other until one has the record.
-  void FindRecord(std::uint64_t aKeyHash, std::vector<PeerKey> aHolders, Found aFound);
+  /// Looks up a record locally, then on one daemon after the other until one has it.
+  void FindRecord(std::uint64_t aKeyHash, std::vector<PeerKey> aHolders, Found aHandler);
 
-  /// Digest of all that a peer should know as well: endpoints' states and regional versions concern
-  /// only daemons of this region.
+  /// Digest of the state that a peer should share. Endpoint states and regional versions are included
+  /// only for daemons of this region.
   [[nodiscard]] std::uint64_t DigestFor(PeerKey aPeer) const;
 
 private:
-  void AnswerJoin(std::string_view aBytes, const PeerTransport::Respond& aRespond);
-  void AnswerStates(PeerKey aSender, std::string_view aBytes,
+  void HandleJoin(std::string_view aBytes, const PeerTransport::Respond& aRespond);
+  void HandleStates(PeerKey aSender, std::string_view aBytes,
                     const PeerTransport::Respond& aRespond);
-  void AnswerSharedState(std::string_view aBytes, const PeerTransport::Respond& aRespond);
-  void AnswerProfile(std::string_view aBytes, const PeerTransport::Respond& aRespond);
-  void AnswerRecord(std::string_view aBytes, const PeerTransport::Respond& aRespond);
+  void HandleSharedState(std::string_view aBytes, const PeerTransport::Respond& aRespond);
+  void HandleProfile(std::string_view aBytes, const PeerTransport::Respond& aRespond);
+  void HandleRecord(std::string_view aBytes, const PeerTransport::Respond& aRespond);
   void Repair(PeerKey aPeer);
-  void TakeExchange(PeerKey aPeer, const StateExchange& aExchange);
-  void AdoptState(std::string_view aBytes);
-  void Ask(PeerKey aPeer, RequestType aType, std::string aBytes,
-           PeerTransport::AnswerHandler aHandler);
+  void ApplyExchange(PeerKey aPeer, const StateExchange& aExchange);
+  void ApplySharedState(std::string_view aBytes);
+  void SendRequest(PeerKey aPeer, RequestType aType, std::string aBytes,
+                   PeerTransport::ResponseHandler aHandler);
   [[nodiscard]] bool BeginFetch(std::uint64_t aKey);
   [[nodiscard]] StateExchange CollectStates(bool aRegional) const;
 
   const Clock& clock;
   Parts parts;
   const MembershipSettings& settings;
-  std::function<void()> news;
+  std::function<void()> onUpdate;
   Log log;
-  Notes notes;                                           ///< To be passed on.
-  std::unordered_map<std::uint64_t, TimePoint> fetching; ///< States and profiles asked for, by key.
-  std::uint64_t lastDigest = 0;                          ///< Of everything.
-  TimePoint digestSince; ///< Since when the digest here is lastDigest.
+  Notes notes; ///< Announcements to disseminate.
+  std::unordered_map<std::uint64_t, TimePoint>
+    pendingFetches;             ///< States and profiles requested, by key.
+  std::uint64_t lastDigest = 0; ///< Of all states and versions.
+  TimePoint digestSince;        ///< When the local digest became lastDigest.
   TimePoint lastRepair;
   std::optional<TimePoint> lastJoin;
   std::size_t joinAttempts = 0;
--- a/Lagoonward/Membership/PeerInfo.h
+++ b/Lagoonward/Membership/PeerInfo.h
@@ -11,11 +11,12 @@
 
 namespace lagoonward {
 
-/// Hash of a daemon's id in the host list; how daemons name each other in messages.
+/// Hash of a daemon's id in the host list. Identifies daemons in messages.
 using PeerKey = std::uint64_t;
 
-/// Short hash of an endpoint's id. Two endpoints of a fleet of 880 collide with a probability of
-/// about one in ten thousand; then their loads mix until one of them is replaced.
+/// Short hash of an endpoint's id. In a fleet of 880 endpoints, the probability that any two collide is
+/// about one in ten thousand. Colliding endpoints overwrite each other's load samples until one of them
+/// is replaced.
 using EndpointKey = std::uint32_t;
 
 [[nodiscard]] inline PeerKey
@@ -30,11 +31,11 @@
   return static_cast<EndpointKey>(HashBytes(aId));
 }
 
-/// Who a daemon is and where it can be reached.
+/// Identity and address of a daemon.
 struct PeerInfo
 {
-  std::string id;      ///< The host list's id.
-  std::string address; ///< IPv4 number.
+  std::string id;      ///< Id in the host list.
+  std::string address; ///< IPv4 address in dotted decimal.
   std::uint16_t port = 0;
   std::string failureDomain;
   std::string region;
@@ -45,17 +46,16 @@
   void serialize(Archive& aArchive);
 };
 
-/// What is known of another daemon. Ordered by how strongly one overrules another at the same
-/// incarnation.
+/// State of another daemon. At the same incarnation, the higher value takes precedence.
 enum class PeerState : std::uint8_t
 {
-  Alive,   ///< Answers.
-  Leaving, ///< Drains; still answers, gets nothing new.
-  Suspect, ///< Silent; removed unless it refutes in time.
-  Dead,    ///< Removed; returns only with a higher incarnation.
+  Alive,   ///< Responds to probes.
+  Leaving, ///< Drains: responds to probes, accepts no new requests.
+  Suspect, ///< Does not respond; becomes Dead unless it refutes in time.
+  Dead,    ///< Removed; can rejoin only with a higher incarnation.
 };
 
-/// One daemon in the published view.
+/// One daemon of a published view.
 struct Peer
 {
   PeerInfo info;
@@ -64,14 +64,14 @@
   std::uint64_t incarnation = 0;
 };
 
-/// Immutable picture of all other daemons, published by the control thread.
+/// Immutable snapshot of all other daemons, published by the control thread.
 struct PeerView
 {
-  std::uint64_t generation = 0; ///< Grows by one with each published view.
-  std::vector<Peer> peers;      ///< Alive, leaving and suspected daemons, ordered by key.
-  std::vector<std::string> unreachableRegions; ///< Regions from which nothing is heard.
+  std::uint64_t generation = 0; ///< Incremented with each published view.
+  std::vector<Peer> peers;      ///< Alive, leaving and suspect daemons, ordered by key.
+  std::vector<std::string> unreachableRegions; ///< Regions without contact.
 
-  /// The daemon of that key, or nullptr.
+  /// Returns the daemon with this key, or nullptr.
   [[nodiscard]] const Peer* Find(PeerKey aKey) const;
 };
 
--- a/Lagoonward/Membership/PeerSockets.cpp
+++ b/Lagoonward/Membership/PeerSockets.cpp
@@ -35,14 +35,14 @@
   ::setsockopt(sockets.listener.Get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof(on));
   if (!BindTo(sockets.listener, aAddress) ||
       ::listen(sockets.listener.Get(), kListenBacklog) != 0) {
-    return Error(ErrorKind::InvalidSettings, "cannot listen on the peer address");
+    return Error(ErrorKind::InvalidSettings, "cannot bind the TCP listener to the peer address");
   }
-  // The port that TCP got is the one for UDP as well
+  // UDP uses the port that was assigned for TCP
   socklen_t length = sizeof(aAddress);
   ::getsockname(sockets.listener.Get(), reinterpret_cast<sockaddr*>(&aAddress), &length);
   sockets.datagrams = OpenSocket(SOCK_DGRAM);
   if (!BindTo(sockets.datagrams, aAddress)) {
-    return Error(ErrorKind::InvalidSettings, "the peer port is taken for UDP");
+    return Error(ErrorKind::InvalidSettings, "cannot bind the UDP socket to the peer port");
   }
   sockets.port = ntohs(aAddress.sin_port);
   return sockets;
@@ -57,7 +57,7 @@
   address.sin_family = AF_INET;
   address.sin_port = htons(aPort);
   if (::inet_pton(AF_INET, aAddress.c_str(), &address.sin_addr) != 1) {
-    return Error(ErrorKind::InvalidSettings, "not an IPv4 number: " + aAddress);
+    return Error(ErrorKind::InvalidSettings, "expected an IPv4 address, got: " + aAddress);
   }
   return address;
 }
@@ -70,7 +70,7 @@
     return address.error();
   }
   auto sockets = BindBoth(address.value());
-  // A port that is free for TCP may be taken for UDP: try a few
+  // A port that is free for TCP may be in use for UDP: retry with other ports
   for (int attempt = 1; !sockets && aPort == 0 && attempt < kBindAttempts; ++attempt) {
     sockets = BindBoth(address.value());
   }
@@ -88,13 +88,13 @@
   const int connected = ::connect(socket.Get(), reinterpret_cast<const sockaddr*>(&address.value()),
                                   sizeof(sockaddr_in));
   if (connected != 0 && errno != EINPROGRESS) {
-    return Error(ErrorKind::PlatformUnavailable, "cannot connect to the daemon");
+    return Error(ErrorKind::PlatformUnavailable, "cannot start a TCP connection to the daemon");
   }
   return socket;
 }
 
 void
-DisableSendDelay(const UniqueFd& aSocket)
+DisableNagleAlgorithm(const UniqueFd& aSocket)
 {
   const int on = 1;
   ::setsockopt(aSocket.Get(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
--- a/Lagoonward/Membership/PeerSockets.h
+++ b/Lagoonward/Membership/PeerSockets.h
@@ -9,7 +9,7 @@
 
 namespace lagoonward {
 
-/// The socket address of an IPv4 number. Error: InvalidSettings.
+/// Parses an IPv4 address in dotted decimal. Error: InvalidSettings.
 [[nodiscard]] Result<sockaddr_in>
 ToSocketAddress(const std::string& aAddress, std::uint16_t aPort);
 
@@ -20,16 +20,16 @@
   UniqueFd listener;
   std::uint16_t port = 0;
 
-  /// Binds both. Port 0 takes one that is free for both. Error: InvalidSettings.
+  /// Binds both sockets. Port 0 selects a port that is free for both. Error: InvalidSettings.
   [[nodiscard]] static Result<PeerSockets> Open(const std::string& aAddress, std::uint16_t aPort);
 };
 
-/// Begins a non-blocking connect. Errors: InvalidSettings, PlatformUnavailable.
+/// Starts a non-blocking connect. Errors: InvalidSettings, PlatformUnavailable.
 [[nodiscard]] Result<UniqueFd>
 BeginConnect(const std::string& aAddress, std::uint16_t aPort);
 
-/// Sends what is written at once: frames are small and wait for answers.
+/// Sets TCP_NODELAY: frames are small and senders wait for responses.
 void
-DisableSendDelay(const UniqueFd& aSocket);
+DisableNagleAlgorithm(const UniqueFd& aSocket);
 
 } // namespace lagoonward
--- a/Lagoonward/Membership/PeerTable.cpp
+++ b/Lagoonward/Membership/PeerTable.cpp
@@ -23,10 +23,10 @@
   , selfKey(this->self.Key())
   , incarnation(aIncarnation)
   , settings(aSettings)
-  , lastHeardAny(aClock.Now())
+  , lastAnyContact(aClock.Now())
   , lastTick(aClock.Now())
   , region(this->selfKey)
-  , plan(aClock, this->selfKey, this->settings)
+  , scheduler(aClock, this->selfKey, this->settings)
 {
   this->changes.Add(this->selfKey);
 }
@@ -60,7 +60,7 @@
       continue;
     }
     entry->listed = true;
-    // One that is known by its address only, as a seed, is told more of by a later list
+    // A seed daemon is known by its address only, until a later list provides its failure domain
     if (entry->peer.info.failureDomain.empty() && !host.failureDomain.empty()) {
       entry->peer.info = ToInfo(host);
       this->changed = true;
@@ -94,7 +94,7 @@
   if (!isNewer && !overrules) {
     return;
   }
-  // A restarted daemon may have come back at another address
+  // A daemon may restart with a different address
   if (isNewer && aChange.info && aChange.info->Key() == aChange.key &&
       ChangeQueue::Fits(*aChange.info)) {
     entry.peer.info = *aChange.info;
@@ -111,12 +111,12 @@
     return;
   }
   PeerEntry& entry = found->second;
-  this->NoteHeard(entry);
+  this->RecordContact(entry);
   const bool isNewer = aIncarnation > entry.peer.incarnation;
-  const bool leaves = aIncarnation == entry.peer.incarnation && aState == PeerState::Leaving &&
-                      entry.peer.state == PeerState::Alive;
-  if (isNewer || leaves) {
-    // First contact with a listed daemon is no news to the others
+  const bool startsLeaving = aIncarnation == entry.peer.incarnation &&
+                             aState == PeerState::Leaving && entry.peer.state == PeerState::Alive;
+  if (isNewer || startsLeaving) {
+    // The first contact with a listed daemon need not be disseminated: the others have the list
     const bool isFirst = entry.peer.incarnation == 0 && aState == PeerState::Alive;
     this->SetState(entry, aState, aIncarnation);
     if (!isFirst) {
@@ -130,7 +130,7 @@
 {
   const auto found = this->entries.find(aPeer);
   if (found != this->entries.end()) {
-    this->NoteHeard(found->second);
+    this->RecordContact(found->second);
   }
 }
 
@@ -139,7 +139,7 @@
 {
   const auto found = this->entries.find(aSubject);
   if (found != this->entries.end()) {
-    found->second.lastHeard = this->clock.Now();
+    found->second.lastContact = this->clock.Now();
     found->second.indirectSent = false;
   }
 }
@@ -147,20 +147,20 @@
 std::vector<ProbeOrder>
 PeerTable::Tick()
 {
-  this->CheckOwnPause();
+  this->DetectLocalPause();
   for (auto& [key, entry] : this->entries) {
-    this->MoveSuspicion(entry);
+    this->AdvanceSuspicion(entry);
   }
-  this->Forget();
+  this->RemoveExpired();
   if (this->targetsStale) {
     this->targetsStale = false;
     this->region.Rebuild(this->entries);
-    this->plan.ChooseTargets(this->entries, this->region);
+    this->scheduler.ChooseTargets(this->entries, this->region);
   }
   this->UpdateReachability();
-  // A remote target that does not answer is replaced; only its own region may find it dead
-  this->plan.RotateRemoteTargets(this->entries);
-  return this->plan.Due(this->entries, this->region, this->IsIsolated());
+  // A remote target that does not respond is replaced; only its own region may declare it dead
+  this->scheduler.RotateRemoteTargets(this->entries);
+  return this->scheduler.DueProbes(this->entries, this->region, this->IsIsolated());
 }
 
 void
@@ -178,7 +178,7 @@
 {
   std::vector<PeerChange> taken;
   std::size_t used = 0;
-  // A suspect that still gets our datagrams is told, so that it can refute
+  // A suspect or dead receiver is sent its own state first, so that it can refute
   const auto receiver = this->entries.find(aTo);
   if (receiver != this->entries.end() && receiver->second.peer.state >= PeerState::Suspect) {
     taken.push_back(this->ToChange(receiver->second));
@@ -193,7 +193,7 @@
                                         : std::optional(this->ToChange(entry->second));
   };
   if (used <= aBytes) {
-    this->changes.Take(aBytes - used, this->SendLimit(), read, taken);
+    this->changes.Take(aBytes - used, this->RetransmitLimit(), read, taken);
   }
   return taken;
 }
@@ -221,7 +221,7 @@
   this->changed = false;
   auto view = std::make_shared<PeerView>();
   view->generation = ++this->generation;
-  view->unreachableRegions = this->unreachable;
+  view->unreachableRegions = this->unreachableRegions;
   for (const auto& [key, entry] : this->entries) {
     if (entry.IsPresent()) {
       view->peers.push_back(entry.peer);
@@ -284,9 +284,9 @@
   entry.peer.info = aInfo;
   entry.peer.key = aInfo.Key();
   entry.regional = aInfo.region == this->self.region;
-  entry.lastHeard = this->clock.Now();
+  entry.lastContact = this->clock.Now();
   if (!entry.regional) {
-    this->regionHeard.emplace(aInfo.region, this->clock.Now());
+    this->lastRegionContact.emplace(aInfo.region, this->clock.Now());
   }
   this->SetState(entry, aState, aIncarnation);
   return &entry;
@@ -314,55 +314,57 @@
 }
 
 void
-PeerTable::NoteHeard(PeerEntry& aEntry)
+PeerTable::RecordContact(PeerEntry& aEntry)
 {
   const TimePoint now = this->clock.Now();
   if (this->IsIsolated()) {
-    this->ExcuseSilence(now);
+    this->ResetSilenceTimers(now);
   }
-  this->lastHeardAny = now;
-  aEntry.lastHeard = now;
+  this->lastAnyContact = now;
+  aEntry.lastContact = now;
   aEntry.indirectSent = false;
   if (!aEntry.regional) {
-    this->regionHeard[aEntry.peer.info.region] = now;
+    this->lastRegionContact[aEntry.peer.info.region] = now;
   }
 }
 
 void
-PeerTable::CheckOwnPause()
+PeerTable::DetectLocalPause()
 {
   const TimePoint now = this->clock.Now();
   if (now - this->lastTick > this->settings.ownPause) {
-    this->ExcuseSilence(now);
-    this->lastHeardAny = now;
+    this->ResetSilenceTimers(now);
+    this->lastAnyContact = now;
   }
   this->lastTick = now;
 }
 
 void
-PeerTable::ExcuseSilence(TimePoint aNow)
+PeerTable::ResetSilenceTimers(TimePoint aNow)
 {
-  // The silence was ours: every peer gets time to be heard, suspects at least half of theirs
+  // This daemon was paused or isolated, so missing contact is no evidence against the peers: the
+  // silence timeouts start again, and suspects get at least half of the time to refute
   const TimePoint latest = aNow - this->settings.suspicionToDead / 2;
   for (auto& [key, entry] : this->entries) {
     if (entry.peer.state == PeerState::Suspect) {
       entry.stateSince = std::max(entry.stateSince, latest);
     } else {
-      entry.lastHeard = aNow;
+      entry.lastContact = aNow;
     }
   }
 }
 
 void
-PeerTable::MoveSuspicion(PeerEntry& aEntry)
+PeerTable::AdvanceSuspicion(PeerEntry& aEntry)
 {
   const TimePoint now = this->clock.Now();
   if (!aEntry.regional || this->IsIsolated()) {
     return;
   }
-  const bool isTrusted =
+  const bool isUnsuspected =
     aEntry.peer.state == PeerState::Alive || aEntry.peer.state == PeerState::Leaving;
-  if (isTrusted && aEntry.probed && now - aEntry.lastHeard > this->settings.silenceToSuspect) {
+  if (isUnsuspected && aEntry.probed &&
+      now - aEntry.lastContact > this->settings.silenceToSuspect) {
     this->SetState(aEntry, PeerState::Suspect, aEntry.peer.incarnation);
     this->changes.Add(aEntry.peer.key);
   } else if (aEntry.peer.state == PeerState::Suspect &&
@@ -373,21 +375,21 @@
 }
 
 void
-PeerTable::Forget()
+PeerTable::RemoveExpired()
 {
   const TimePoint now = this->clock.Now();
-  const auto isForgotten = [&](const auto& aItem) {
+  const auto isExpired = [&](const auto& aItem) {
     const PeerEntry& entry = aItem.second;
     return !entry.listed && entry.peer.state == PeerState::Dead &&
            now - entry.stateSince > this->settings.deadRetention;
   };
-  std::erase_if(this->entries, isForgotten);
+  std::erase_if(this->entries, isExpired);
 
-  // Another region's daemon that the list no longer has, and that nobody hears here, goes as well
+  // Unlisted daemons of other regions without contact are removed as well
   for (auto& [key, entry] : this->entries) {
     const bool isStale = !entry.listed && !entry.regional && entry.IsPresent() &&
                          now - entry.stateSince > this->settings.deadRetention &&
-                         now - entry.lastHeard > this->settings.deadRetention;
+                         now - entry.lastContact > this->settings.deadRetention;
     if (isStale) {
       this->SetState(entry, PeerState::Dead, entry.peer.incarnation);
     }
@@ -398,14 +400,14 @@
 PeerTable::UpdateReachability()
 {
   const TimePoint now = this->clock.Now();
-  std::vector<std::string> silent;
-  for (const auto& [name, heard] : this->regionHeard) {
-    if (now - heard > this->settings.regionSilence) {
-      silent.push_back(name);
+  std::vector<std::string> withoutContact;
+  for (const auto& [name, contact] : this->lastRegionContact) {
+    if (now - contact > this->settings.regionSilence) {
+      withoutContact.push_back(name);
     }
   }
-  if (silent != this->unreachable) {
-    this->unreachable = std::move(silent);
+  if (withoutContact != this->unreachableRegions) {
+    this->unreachableRegions = std::move(withoutContact);
     this->changed = true;
   }
 }
@@ -413,14 +415,14 @@
 bool
 PeerTable::IsIsolated() const
 {
-  return this->clock.Now() - this->lastHeardAny > this->settings.selfIsolation;
+  return this->clock.Now() - this->lastAnyContact > this->settings.selfIsolation;
 }
 
 PeerChange
 PeerTable::ToChange(const PeerEntry& aEntry) const
 {
   PeerChange change{ aEntry.peer.key, aEntry.peer.state, aEntry.peer.incarnation, std::nullopt };
-  // The host list tells the others what they need of those that it names
+  // The other daemons take the info of listed daemons from the host list
   if (aEntry.peer.state <= PeerState::Leaving && !aEntry.listed) {
     change.info = aEntry.peer.info;
   }
@@ -435,7 +437,7 @@
 }
 
 std::size_t
-PeerTable::SendLimit() const
+PeerTable::RetransmitLimit() const
 {
   const std::size_t bits = std::bit_width(this->region.Keys().size());
   return std::max<std::size_t>(1, this->settings.retransmitFactor * bits);
--- a/Lagoonward/Membership/PeerTable.h
+++ b/Lagoonward/Membership/PeerTable.h
@@ -4,7 +4,7 @@
 #include "Lagoonward/Membership/MembershipSettings.h"
 #include "Lagoonward/Membership/Messages.h"
 #include "Lagoonward/Membership/PeerEntry.h"
-#include "Lagoonward/Membership/ProbePlan.h"
+#include "Lagoonward/Membership/ProbeScheduler.h"
 #include "Lagoonward/Membership/RegionGraph.h"
 #include "Lagoonward/Providers/PlatformInterfaces.h"
 
@@ -14,56 +14,57 @@
 
 namespace lagoonward {
 
-/// Who the other daemons are and whether they answer, after SWIM: each daemon is probed by a few of
-/// its region, chosen by rendezvous hashing of its key; a silent one is probed through others, then
-/// suspected, and removed only when it has not refuted in time. Only daemons of its own region
-/// suspect a daemon, so regions that lose each other remove nobody; a daemon that hears nobody
-/// suspects nobody. Pure: no I/O, the clock is passed in.
+/// Membership table and failure detector after SWIM. Each daemon is probed by a few daemons of its
+/// region, chosen by rendezvous hashing of its key. A daemon that does not respond is probed
+/// indirectly, then suspected, and removed if it does not refute in time. Only daemons of the same
+/// region suspect a daemon, so a partition between regions removes no daemons. An isolated daemon, one
+/// without contact to any peer, suspects none. Performs no I/O; the clock is injected.
 class PeerTable
 {
 public:
   PeerTable(const Clock& aClock, PeerInfo aSelf, std::uint64_t aIncarnation,
             PeerTableSettings aSettings);
 
-  /// Tells the port that was bound, when the setting asked for a free one.
+  /// Sets the port that was bound, for a setting of 0 (any free port).
   void SetOwnPort(std::uint16_t aPort);
 
-  /// Takes the platform's list, which lags: it brings in daemons that are not known yet, and lets
-  /// unlisted ones be forgotten once they are silent. It revives nobody.
+  /// Applies the platform's host list, which may be out of date: adds unknown daemons, and makes
+  /// unlisted ones eligible for removal once contact is lost. Never sets a dead daemon alive.
   void ApplyHostList(std::span<const HostEntry> aHosts);
 
-  /// Takes a change that another daemon reported.
+  /// Applies a change that another daemon reported.
   void Apply(const PeerChange& aChange);
 
-  /// Takes proof that a daemon is there: an authentic datagram.
+  /// Records an authentic datagram of a daemon, with the sender's incarnation and state.
   void OnHeard(PeerKey aPeer, std::uint64_t aIncarnation, PeerState aState);
 
-  /// Takes proof of life without an incarnation, from a datagram that only spreads news.
+  /// Records an authentic datagram without incarnation, one that only disseminates updates.
   void OnHeard(PeerKey aPeer);
 
-  /// Takes the answer of another daemon's probe of a peer.
+  /// Records that another daemon's probe of the subject was acknowledged.
   void OnIndirectAck(PeerKey aSubject);
 
-  /// Moves suspicions forward and says what to send now. Called every tick.
+  /// Advances suspicions and returns the probes to send now. Called every tick.
   [[nodiscard]] std::vector<ProbeOrder> Tick();
 
-  /// Announces that this daemon leaves.
+  /// Sets this daemon's state to Leaving and disseminates it.
   void Leave();
 
-  /// Changes to put into the next datagram to a peer, those sent least first, at most aBytes of
-  /// them. What is wrongly believed of the receiver itself goes first, so that it can refute.
+  /// Returns the changes for the next datagram to a peer, least sent first, at most aBytes in total.
+  /// If the receiver is suspect or dead here, that entry comes first, so that it can refute.
   [[nodiscard]] std::vector<PeerChange> TakeChanges(PeerKey aTo, std::size_t aBytes);
 
-  /// Every known daemon, this one included, with its info; for one that joins.
+  /// Returns all daemons that are not dead with their info, this one first; sent to a joining daemon.
   [[nodiscard]] std::vector<PeerChange> AllChanges() const;
 
-  /// A new view when something has changed since the last call, else nullptr.
+  /// Returns a new view if anything has changed since the last call, else nullptr.
   [[nodiscard]] PeerViewPtr TakeView();
 
-  /// One reachable daemon of each other region, by rendezvous of this daemon's key.
+  /// Returns the probed daemons of each other region, chosen by rendezvous hashing of this daemon's
+  /// key and replaced while they do not respond.
   [[nodiscard]] std::vector<PeerKey> RemotePeers() const;
 
-  /// This region's daemons that are not dead, this one included.
+  /// The daemons of this region that are not dead, this one included.
   [[nodiscard]] const RegionGraph& Region() const;
 
   [[nodiscard]] const Peer* Find(PeerKey aKey) const;
@@ -77,34 +78,35 @@
   PeerEntry* Insert(const PeerInfo& aInfo, std::uint64_t aIncarnation, PeerState aState);
   void SetState(PeerEntry& aEntry, PeerState aState, std::uint64_t aIncarnation);
   void RefuteIfNeeded(const PeerChange& aChange);
-  void NoteHeard(PeerEntry& aEntry);
-  void CheckOwnPause();
-  void ExcuseSilence(TimePoint aNow);
-  void MoveSuspicion(PeerEntry& aEntry);
-  void Forget();
+  void RecordContact(PeerEntry& aEntry);
+  void DetectLocalPause();
+  void ResetSilenceTimers(TimePoint aNow);
+  void AdvanceSuspicion(PeerEntry& aEntry);
+  void RemoveExpired();
   void UpdateReachability();
   [[nodiscard]] bool IsIsolated() const;
   [[nodiscard]] PeerChange ToChange(const PeerEntry& aEntry) const;
   [[nodiscard]] PeerChange OwnChange() const;
-  [[nodiscard]] std::size_t SendLimit() const;
+  [[nodiscard]] std::size_t RetransmitLimit() const;
 
   const Clock& clock;
   PeerInfo self;
   PeerKey selfKey;
   std::uint64_t incarnation;
   PeerState ownState = PeerState::Alive;
-  bool selfListed = false; ///< In the host list: the others need no info of this daemon.
+  bool selfListed = false; ///< In the host list, so changes of this daemon need no info.
   PeerTableSettings settings;
-  TimePoint lastHeardAny;
+  TimePoint lastAnyContact;
   TimePoint lastTick;
   PeerEntries entries;
   RegionGraph region;
-  ProbePlan plan;
+  ProbeScheduler scheduler;
   ChangeQueue changes;
-  std::map<std::string, TimePoint, std::less<>> regionHeard; ///< Other regions, last datagram.
-  std::vector<std::string> unreachable;                      ///< As in the last view.
-  bool changed = true;                                       ///< Since the last TakeView().
-  bool targetsStale = true; ///< Probe targets must be chosen again.
+  std::map<std::string, TimePoint, std::less<>>
+    lastRegionContact;                         ///< Last datagram from each other region.
+  std::vector<std::string> unreachableRegions; ///< Unreachable regions, as in the last view.
+  bool changed = true;                         ///< Since the last TakeView().
+  bool targetsStale = true;                    ///< Probe targets must be recomputed.
   std::uint64_t generation = 0;
 };
 
--- a/Lagoonward/Membership/PeerTransport.cpp
+++ b/Lagoonward/Membership/PeerTransport.cpp
@@ -18,10 +18,10 @@
 constexpr std::uint64_t kDatagramHeaderBytes = 28;
 constexpr int kAcceptsPerWake = 16;
 constexpr std::size_t kConnectionNonceBytes = 16;
-constexpr Milliseconds kSweepInterval{ 1000 };
+constexpr Milliseconds kExpiryCheckInterval{ 1000 };
 
 std::string
-DrawNonce()
+GenerateNonce()
 {
   std::string nonce(kConnectionNonceBytes, '\0');
   randombytes_buf(nonce.data(), nonce.size());
@@ -54,14 +54,15 @@
   this->datagramSocket = std::move(sockets.value().datagrams);
   this->listener = std::move(sockets.value().listener);
   this->port = sockets.value().port;
-  auto watched = this->loop.Watch(this->datagramSocket.Get(), EPOLLIN,
-                                  [this](std::uint32_t) { this->ReadDatagrams(); });
-  if (watched) {
-    watched = this->loop.Watch(this->listener.Get(), EPOLLIN,
-                               [this](std::uint32_t) { this->AcceptConnections(); });
-  }
-  this->sweepTimer = this->loop.Every(kSweepInterval, [this] { this->Sweep(); });
-  return watched;
+  auto watchResult = this->loop.Watch(this->datagramSocket.Get(), EPOLLIN,
+                                      [this](std::uint32_t) { this->ReadDatagrams(); });
+  if (watchResult) {
+    watchResult = this->loop.Watch(this->listener.Get(), EPOLLIN,
+                                   [this](std::uint32_t) { this->AcceptConnections(); });
+  }
+  this->expiryTimer =
+    this->loop.Every(kExpiryCheckInterval, [this] { this->CloseExpiredConnections(); });
+  return watchResult;
 }
 
 void
@@ -70,7 +71,7 @@
   while (!this->connections.empty()) {
     this->CloseConnection(this->connections.begin()->first);
   }
-  this->loop.Cancel(this->sweepTimer);
+  this->loop.Cancel(this->expiryTimer);
   if (this->listener.IsValid()) {
     this->loop.Unwatch(this->listener.Get());
     this->loop.Unwatch(this->datagramSocket.Get());
@@ -105,7 +106,8 @@
   header.sentAt = static_cast<std::uint32_t>(ToUnixMilliseconds(this->clock.WallNow()) / 1000);
   const std::string bytes = SealDatagram(this->keys, aTo.key, header, aDatagram);
   if (bytes.size() > this->settings.maximumDatagram) {
-    this->log.Error("a datagram of {} bytes is over the limit and was dropped.", bytes.size());
+    this->log.Error("dropped an outgoing datagram of {} bytes: larger than the configured maximum.",
+                    bytes.size());
     return;
   }
   const auto sent =
@@ -124,7 +126,7 @@
   for (std::size_t count = 0; count < this->settings.datagramsPerWake; ++count) {
     const auto size = ::recv(this->datagramSocket.Get(), buffer.data(), buffer.size(), 0);
     if (size < 0) {
-      // An ICMP error of an earlier send is reported here once; it says nothing about this read
+      // The kernel reports an ICMP error of an earlier send once, on this call; it does not concern this read
       if (errno == ECONNREFUSED) {
         continue;
       }
@@ -132,27 +134,31 @@
     }
     ++this->counters.datagramsReceived;
     this->counters.datagramBytesReceived += static_cast<std::uint64_t>(size) + kDatagramHeaderBytes;
-    this->TakeDatagram({ buffer.data(), static_cast<std::size_t>(size) });
+    this->HandleDatagram({ buffer.data(), static_cast<std::size_t>(size) });
   }
 }
 
 void
-PeerTransport::TakeDatagram(std::string_view aBytes)
+PeerTransport::HandleDatagram(std::string_view aBytes)
 {
   const auto opened = OpenDatagram(this->keys, this->self, aBytes);
   if (!opened) {
     ++this->counters.datagramsRefused;
-    this->log.Debug("a datagram was refused: {}.", opened.error().message);
+    this->log.Debug("rejected a datagram: {}.", opened.error().message);
     return;
   }
-  // The window forgets with a restart of this daemon; the sender's time bounds what is left
+  // The replay window is lost when this daemon restarts; the check of the sender's time limits what can be replayed
+  // then
   const DatagramHeader& header = opened.value().header;
-  const std::int64_t here = ToUnixMilliseconds(this->clock.WallNow()) / 1000;
-  const bool isTimely = std::abs(here - header.sentAt) <= this->settings.clockTolerance.count();
+  const std::int64_t localTime = ToUnixMilliseconds(this->clock.WallNow()) / 1000;
+  const bool isTimely =
+    std::abs(localTime - header.sentAt) <= this->settings.clockTolerance.count();
   if (header.sender == this->self || !isTimely ||
-      !this->replays.Accept(header.sender, header.session, header.sequence, this->clock.Now())) {
+      !this->replayGuard.Accept(header.sender, header.session, header.sequence,
+                                this->clock.Now())) {
     ++this->counters.datagramsRefused;
-    this->log.Debug("a datagram was refused: repeated, or its time is off.");
+    this->log.Debug(
+      "rejected a datagram: replayed, sent by this daemon, or outside the clock tolerance.");
     return;
   }
   if (this->datagramHandler) {
@@ -185,8 +191,8 @@
 void
 PeerTransport::PauseAccepting()
 {
-  // The waiting connection would wake the loop again and again until a descriptor is free
-  this->log.Warning("no descriptor is left for a connection; accepting pauses.");
+  // The connection in the backlog would wake the loop continuously until a descriptor is free
+  this->log.Warning("no file descriptor is free for a new connection; accepting is paused.");
   this->loop.ChangeEvents(this->listener.Get(), 0);
   this->loop.After(this->settings.acceptPause, [this] {
     if (this->listener.IsValid()) {
@@ -213,37 +219,38 @@
 Result<std::uint64_t>
 PeerTransport::AddConnection(UniqueFd aSocket, PeerConnection::Side aSide, PeerKey aPeer)
 {
-  DisableSendDelay(aSocket);
+  DisableNagleAlgorithm(aSocket);
   const int descriptor = aSocket.Get();
   const std::uint64_t number = this->nextConnection++;
   auto stream = std::make_unique<PeerConnection>(
     std::move(aSocket), aSide, this->keys, this->settings, this->clock.Now(),
-    aSide == PeerConnection::Side::Accepting ? DrawNonce() : std::string());
-  auto watched = this->loop.Watch(
-    descriptor, EPOLLIN, [this, number](std::uint32_t aEvents) { this->Serve(number, aEvents); });
-  if (!watched) {
-    return watched.error();
+    aSide == PeerConnection::Side::Accepting ? GenerateNonce() : std::string());
+  auto watchResult = this->loop.Watch(descriptor, EPOLLIN, [this, number](std::uint32_t aEvents) {
+    this->HandleEvents(number, aEvents);
+  });
+  if (!watchResult) {
+    return watchResult.error();
   }
   this->connections.emplace(number, Connection{ std::move(stream), aPeer });
   return number;
 }
 
 void
-PeerTransport::Serve(std::uint64_t aConnection, std::uint32_t aEvents)
+PeerTransport::HandleEvents(std::uint64_t aConnection, std::uint32_t aEvents)
 {
   const auto found = this->connections.find(aConnection);
   if (found == this->connections.end()) {
     return;
   }
   std::vector<Frame> frames;
-  const bool healthy =
+  const bool isHealthy =
     (aEvents & EPOLLIN) == 0 || found->second.stream->Read(this->clock.Now(), frames);
   this->counters.streamBytesReceived += found->second.stream->TakeReceivedBytes();
   for (const Frame& frame : frames) {
-    this->TakeFrame(aConnection, frame);
+    this->HandleFrame(aConnection, frame);
   }
-  const bool broken = (aEvents & (EPOLLERR | EPOLLHUP)) != 0;
-  if (!healthy || (broken && (aEvents & EPOLLIN) == 0)) {
+  const bool hasErrorEvent = (aEvents & (EPOLLERR | EPOLLHUP)) != 0;
+  if (!isHealthy || (hasErrorEvent && (aEvents & EPOLLIN) == 0)) {
     this->CloseConnection(aConnection);
     return;
   }
@@ -258,14 +265,14 @@
     return;
   }
   PeerConnection& stream = *found->second.stream;
-  const bool healthy = stream.Write();
+  const bool isHealthy = stream.Write();
   this->counters.streamBytesSent += stream.TakeSentBytes();
-  if (!healthy) {
+  if (!isHealthy) {
     this->CloseConnection(aConnection);
     return;
   }
-  const std::uint32_t writing = stream.WantsToWrite() ? EPOLLOUT : 0U;
-  this->loop.ChangeEvents(stream.Descriptor(), EPOLLIN | writing);
+  const std::uint32_t writeEvent = stream.WantsToWrite() ? EPOLLOUT : 0U;
+  this->loop.ChangeEvents(stream.Descriptor(), EPOLLIN | writeEvent);
 }
 
 void
@@ -276,7 +283,8 @@
     return;
   }
   if (!found->second.stream->Queue(aFrame, this->clock.Now())) {
-    this->log.Warning("a daemon reads too slowly; its connection is closed.");
+    this->log.Warning(
+      "closed a daemon's connection: it reads too slowly and the send queue is full.");
     this->CloseConnection(aConnection);
     return;
   }
@@ -285,7 +293,7 @@
 
 void
 PeerTransport::Request(const PeerAddress& aTo, RequestType aType, std::string aBytes,
-                       Milliseconds aTimeout, AnswerHandler aHandler)
+                       Milliseconds aTimeout, ResponseHandler aHandler)
 {
   const auto open = this->outgoing.find(aTo.key);
   const auto connection =
@@ -296,95 +304,96 @@
     return;
   }
   const std::uint64_t number = this->nextRequest++;
-  const auto timer = this->loop.After(aTimeout, [this, number] { this->Expire(number); });
+  const auto timer = this->loop.After(aTimeout, [this, number] { this->OnRequestTimeout(number); });
   this->pending.emplace(number, Pending{ std::move(aHandler), connection.value(), timer });
   this->Transmit(connection.value(), Frame{ FrameKind::Request, this->self, number,
                                             static_cast<std::uint16_t>(aType), std::move(aBytes) });
 }
 
 void
-PeerTransport::TakeFrame(std::uint64_t aConnection, const Frame& aFrame)
+PeerTransport::HandleFrame(std::uint64_t aConnection, const Frame& aFrame)
 {
   switch (aFrame.kind) {
     case FrameKind::Request:
-      this->TakeRequest(aConnection, aFrame);
+      this->HandleRequest(aConnection, aFrame);
       break;
     case FrameKind::Answer:
     case FrameKind::Failure:
-      this->TakeAnswer(aFrame);
+      this->HandleResponse(aFrame);
       break;
-    case FrameKind::Opening:
+    case FrameKind::Hello:
       break;
   }
 }
 
 void
-PeerTransport::TakeRequest(std::uint64_t aConnection, const Frame& aFrame)
+PeerTransport::HandleRequest(std::uint64_t aConnection, const Frame& aFrame)
 {
   const auto handler = this->requestHandlers.find(aFrame.type);
-  const Respond respond = this->MakeRespond(aConnection, aFrame.number);
+  const Respond respond = this->MakeResponder(aConnection, aFrame.number);
   if (handler == this->requestHandlers.end()) {
-    respond(Error(ErrorKind::UnknownPath, "this daemon does not know that request"));
+    respond(Error(ErrorKind::UnknownPath, "no handler is registered for this request type"));
     return;
   }
   handler->second(aFrame.sender, aFrame.bytes, respond);
 }
 
 PeerTransport::Respond
-PeerTransport::MakeRespond(std::uint64_t aConnection, std::uint64_t aRequest)
+PeerTransport::MakeResponder(std::uint64_t aConnection, std::uint64_t aRequest)
 {
   return [this, handle = this->loop.Handle(), sender = this->self, aConnection,
-          aRequest](const Result<std::string>& aAnswer) {
+          aRequest](const Result<std::string>& aResponse) {
     Frame frame;
     frame.number = aRequest;
     frame.sender = sender;
-    if (aAnswer) {
+    if (aResponse) {
       frame.kind = FrameKind::Answer;
-      frame.bytes = aAnswer.value();
+      frame.bytes = aResponse.value();
     } else {
       frame.kind = FrameKind::Failure;
-      frame.type = static_cast<std::uint16_t>(aAnswer.error().kind);
-      frame.bytes = aAnswer.error().message;
+      frame.type = static_cast<std::uint16_t>(aResponse.error().kind);
+      frame.bytes = aResponse.error().message;
     }
     handle->Post([this, aConnection, frame] { this->Transmit(aConnection, frame); });
   };
 }
 
 void
-PeerTransport::TakeAnswer(const Frame& aFrame)
+PeerTransport::HandleResponse(const Frame& aFrame)
 {
   if (aFrame.kind == FrameKind::Answer) {
-    this->Finish(aFrame.number, aFrame.bytes);
+    this->CompleteRequest(aFrame.number, aFrame.bytes);
     return;
   }
   const bool isKnown = aFrame.type < GetErrorRules().size();
   const auto kind = isKnown ? static_cast<ErrorKind>(aFrame.type) : ErrorKind::Internal;
-  this->Finish(aFrame.number, Error(kind, aFrame.bytes));
+  this->CompleteRequest(aFrame.number, Error(kind, aFrame.bytes));
 }
 
 void
-PeerTransport::Finish(std::uint64_t aRequest, Result<std::string> aAnswer)
+PeerTransport::CompleteRequest(std::uint64_t aRequest, Result<std::string> aResponse)
 {
   auto node = this->pending.extract(aRequest);
   if (node.empty()) {
     return;
   }
-  if (!aAnswer) {
+  if (!aResponse) {
     ++this->counters.requestsFailed;
   }
   this->loop.Cancel(node.mapped().timer);
-  node.mapped().handler(std::move(aAnswer));
+  node.mapped().handler(std::move(aResponse));
 }
 
 void
-PeerTransport::Expire(std::uint64_t aRequest)
+PeerTransport::OnRequestTimeout(std::uint64_t aRequest)
 {
   const auto found = this->pending.find(aRequest);
   if (found == this->pending.end()) {
     return;
   }
   const std::uint64_t connection = found->second.connection;
-  this->Finish(aRequest, Error(ErrorKind::DeadlineExceeded, "the daemon did not answer in time"));
+  this->CompleteRequest(aRequest, Error(ErrorKind::DeadlineExceeded,
+                                        "the daemon did not respond within the request timeout"));
   this->CloseConnection(connection);
 }
 
@@ -402,26 +411,29 @@
     this->outgoing.erase(open);
   }
 
-  // Requests on it are over; only one that never got through is known not to have been carried out
+  // Fails the pending requests of this connection. They are known not to have run only if the connection was
+  // never established.
   const Error error = connection.stream->IsOpen()
-                        ? Error(ErrorKind::EndpointFailed, "the daemon's connection broke")
-                        : Error(ErrorKind::PlatformUnavailable, "the daemon cannot be reached");
-  std::vector<std::uint64_t> lost;
+                        ? Error(ErrorKind::EndpointFailed,
+                                "the connection to the daemon was lost before a response arrived")
+                        : Error(ErrorKind::PlatformUnavailable,
+                                "the daemon cannot be reached: no connection was established");
+  std::vector<std::uint64_t> failed;
   for (const auto& [number, request] : this->pending) {
     if (request.connection == aConnection) {
-      lost.push_back(number);
+      failed.push_back(number);
     }
   }
-  for (const std::uint64_t number : lost) {
-    this->Finish(number, error);
+  for (const std::uint64_t number : failed) {
+    this->CompleteRequest(number, error);
   }
 }
 
 void
-PeerTransport::Sweep()
+PeerTransport::CloseExpiredConnections()
 {
   const TimePoint now = this->clock.Now();
-  this->replays.Forget(now - 4 * this->settings.clockTolerance);
+  this->replayGuard.EvictBefore(now - 4 * this->settings.clockTolerance);
   std::vector<std::uint64_t> expired;
   for (const auto& [number, connection] : this->connections) {
     if (connection.stream->IsExpired(now)) {
--- a/Lagoonward/Membership/PeerTransport.h
+++ b/Lagoonward/Membership/PeerTransport.h
@@ -18,33 +18,33 @@
 
 namespace lagoonward {
 
-/// Where a daemon's messages go.
+/// Destination of messages to a daemon.
 struct PeerAddress
 {
   PeerKey key = 0;
-  std::string address; ///< IPv4 number.
+  std::string address; ///< IPv4 address in dotted decimal.
   std::uint16_t port = 0;
 };
 
 /// Kinds of requests between daemons. Numbers are part of the protocol.
 enum class RequestType : std::uint16_t
 {
-  Join = 1,          ///< All that a new daemon needs to know.
+  Join = 1,          ///< Initial state for a joining daemon.
   States = 2,        ///< Endpoint states and versions of shared states.
   SharedState = 3,   ///< One shared state, for example a market's configuration.
-  Models = 4,        ///< The list of models behind a hash.
-  SoftRecord = 5,    ///< Places or reads the soft record of a request.
+  Models = 4,        ///< The endpoint profile with a given hash.
+  SoftRecord = 5,    ///< Stores or reads the soft record of a request.
   Claim = 6,         ///< A claim forwarded to the daemon that batches for its key.
-  FirstForeign = 32, ///< Lowest number for subsystems that are not listed here.
+  FirstForeign = 32, ///< First number for subsystems that are not listed here.
 };
 
-/// What went over the wire so far, headers of IP, UDP and TCP estimated (28 bytes a datagram, 40 a
-/// TCP write).
+/// Traffic so far. Byte counts include an estimate for IP, UDP and TCP headers: 28 bytes per datagram,
+/// 40 per TCP read or write.
 struct TransportCounters
 {
   std::uint64_t datagramsSent = 0;
   std::uint64_t datagramsReceived = 0;
-  std::uint64_t datagramsRefused = 0; ///< Malformed, foreign, replayed or not authentic.
+  std::uint64_t datagramsRefused = 0; ///< Malformed, of another cluster, replayed or not authentic.
   std::uint64_t datagramBytesSent = 0;
   std::uint64_t datagramBytesReceived = 0;
   std::uint64_t streamBytesSent = 0;
@@ -52,45 +52,46 @@
   std::uint64_t requestsFailed = 0;
 };
 
-/// UDP datagrams and TCP requests between daemons, all of them authenticated. Lives on one
-/// ControlLoop; every method but Respond callbacks is called there or before the loop starts.
+/// Authenticated UDP datagrams and TCP requests between daemons. Every method is called on the
+/// ControlLoop or before it starts; only Respond callbacks may be called from any thread.
 ///
-/// A request travels on a connection kept open to that peer. When a request times out its connection
-/// is closed, so that the next request opens a new one: an open connection may have gone silent for
-/// good while new ones work.
+/// Requests to a peer share one connection that stays open. When a request times out its connection is
+/// closed, so that the next request opens a new one: an established connection may stop passing data
+/// for good while new ones work.
 class PeerTransport
 {
 public:
-  /// Gives the answer to a request. May be called from any thread, once.
-  using Respond = std::function<void(Result<std::string> aAnswer)>;
+  /// Sends the response to a request. May be called from any thread, once.
+  using Respond = std::function<void(Result<std::string> aResponse)>;
   using RequestHandler =
     std::function<void(PeerKey aSender, std::string_view aBytes, Respond aRespond)>;
   using DatagramHandler = std::function<void(PeerKey aSender, const Datagram& aDatagram)>;
-  using AnswerHandler = std::function<void(Result<std::string> aAnswer)>;
+  using ResponseHandler = std::function<void(Result<std::string> aResponse)>;
 
-  /// @param aSession  number that is higher at each start of this daemon, Unix milliseconds
+  /// @param aSession  number that increases with each start of this daemon, in Unix milliseconds
   PeerTransport(ControlLoop& aLoop, const Clock& aClock, PeerKey aSelf, std::uint64_t aSession,
                 KeyRing aKeys, PeerTransportSettings aSettings);
   ~PeerTransport();
 
-  /// Binds UDP and TCP on the same port; port 0 takes a free one.
+  /// Binds UDP and TCP on the same port; port 0 selects a free one.
   [[nodiscard]] Result<void> Listen(const std::string& aAddress, std::uint16_t aPort);
 
-  /// Closes every socket. Requests in progress end with PlatformUnavailable.
+  /// Closes every socket. Pending requests fail: with EndpointFailed if their connection was established,
+  /// else with PlatformUnavailable.
   void Close();
 
   void OnDatagram(DatagramHandler aHandler);
   void OnRequest(RequestType aType, RequestHandler aHandler);
 
-  /// Sends and forgets. A datagram that would be too large is a bug and is dropped with a log line.
+  /// Sends without confirmation. A datagram over the maximum size is a bug; it is dropped and logged.
   void Send(const PeerAddress& aTo, const Datagram& aDatagram);
 
   /// Sends a request; the handler is called on the loop exactly once.
-  /// Errors: DeadlineExceeded (no answer in time, may have been carried out), EndpointFailed
-  /// (connection lost, may have been carried out), PlatformUnavailable (could not connect, was not
-  /// carried out), or the error that the peer gave.
+  /// Errors: DeadlineExceeded (no response in time, the request may have run), EndpointFailed
+  /// (connection lost, may have run), PlatformUnavailable (could not connect, has not run), or the
+  /// error that the peer returned.
   void Request(const PeerAddress& aTo, RequestType aType, std::string aBytes, Milliseconds aTimeout,
-               AnswerHandler aHandler);
+               ResponseHandler aHandler);
 
   /// Port bound by Listen().
   [[nodiscard]] std::uint16_t Port() const;
@@ -99,7 +100,7 @@
 private:
   struct Pending
   {
-    AnswerHandler handler;
+    ResponseHandler handler;
     std::uint64_t connection = 0;
     ControlLoop::TimerId timer = 0;
   };
@@ -107,27 +108,27 @@
   struct Connection
   {
     std::unique_ptr<PeerConnection> stream;
-    PeerKey peer = 0; ///< Whom requests on it go to; zero for an accepted one.
+    PeerKey peer = 0; ///< Destination of the requests; zero for an accepted connection.
   };
 
   void ReadDatagrams();
-  void TakeDatagram(std::string_view aBytes);
+  void HandleDatagram(std::string_view aBytes);
   void AcceptConnections();
   void PauseAccepting();
   [[nodiscard]] Result<std::uint64_t> ConnectTo(const PeerAddress& aTo);
   [[nodiscard]] Result<std::uint64_t> AddConnection(UniqueFd aSocket, PeerConnection::Side aSide,
                                                     PeerKey aPeer);
-  void Serve(std::uint64_t aConnection, std::uint32_t aEvents);
+  void HandleEvents(std::uint64_t aConnection, std::uint32_t aEvents);
   void Flush(std::uint64_t aConnection);
   void Transmit(std::uint64_t aConnection, const Frame& aFrame);
-  void TakeFrame(std::uint64_t aConnection, const Frame& aFrame);
-  void TakeRequest(std::uint64_t aConnection, const Frame& aFrame);
-  void TakeAnswer(const Frame& aFrame);
+  void HandleFrame(std::uint64_t aConnection, const Frame& aFrame);
+  void HandleRequest(std::uint64_t aConnection, const Frame& aFrame);
+  void HandleResponse(const Frame& aFrame);
   void CloseConnection(std::uint64_t aConnection);
-  void Finish(std::uint64_t aRequest, Result<std::string> aAnswer);
-  void Expire(std::uint64_t aRequest);
-  void Sweep();
-  [[nodiscard]] Respond MakeRespond(std::uint64_t aConnection, std::uint64_t aRequest);
+  void CompleteRequest(std::uint64_t aRequest, Result<std::string> aResponse);
+  void OnRequestTimeout(std::uint64_t aRequest);
+  void CloseExpiredConnections();
+  [[nodiscard]] Respond MakeResponder(std::uint64_t aConnection, std::uint64_t aRequest);
 
   ControlLoop& loop;
   const Clock& clock;
@@ -142,14 +143,15 @@
   std::uint32_t nextSequence = 1;
   std::uint64_t nextConnection = 1;
   std::uint64_t nextRequest = 1;
-  ReplayGuard replays;
+  ReplayGuard replayGuard;
   DatagramHandler datagramHandler;
   std::unordered_map<std::uint16_t, RequestHandler> requestHandlers;
   std::unordered_map<std::uint64_t, Connection> connections; ///< By number.
   std::unordered_map<PeerKey, std::uint64_t> outgoing;       ///< Connection for requests to a peer.
-  std::unordered_map<std::uint64_t, Pending> pending; ///< Requests without an answer, by number.
+  std::unordered_map<std::uint64_t, Pending>
+    pending; ///< Requests without a response yet, by number.
   TransportCounters counters;
-  ControlLoop::TimerId sweepTimer = 0;
+  ControlLoop::TimerId expiryTimer = 0;
 };
 
 } // namespace lagoonward
--- a/Lagoonward/Membership/ProbePlan.cpp
+++ b/Lagoonward/Membership/ProbeScheduler.cpp
@@ -1,19 +1,20 @@
-#include "Lagoonward/Membership/ProbePlan.h"
+#include "Lagoonward/Membership/ProbeScheduler.h"
 
 #include <algorithm>
 
 namespace lagoonward {
 
-ProbePlan::ProbePlan(const Clock& aClock, PeerKey aSelf, const PeerTableSettings& aSettings)
+ProbeScheduler::ProbeScheduler(const Clock& aClock, PeerKey aSelf,
+                               const PeerTableSettings& aSettings)
   : clock(aClock)
   , self(aSelf)
   , settings(aSettings)
-  , lastSearch(aClock.Now())
+  , lastDiscovery(aClock.Now())
 {
 }
 
 void
-ProbePlan::ChooseTargets(PeerEntries& aEntries, const RegionGraph& aRegion)
+ProbeScheduler::ChooseTargets(PeerEntries& aEntries, const RegionGraph& aRegion)
 {
   const TimePoint now = this->clock.Now();
   for (auto& [key, entry] : aEntries) {
@@ -21,9 +22,9 @@
     entry.probed = entry.regional && entry.IsPresent() &&
                    aRegion.IsMonitorOf(key, this->settings.monitorsPerPeer);
     if (entry.probed && !wasProbed) {
-      entry.lastHeard = now;
+      entry.lastContact = now;
       entry.indirectSent = false;
-      // Spreads the probes of all daemons over the interval
+      // Distributes the probes of all daemons over the interval
       const auto phase = CombineHashes(key, this->self) %
                          static_cast<std::uint64_t>(this->settings.probeInterval.count());
       entry.lastProbe = now - Milliseconds(phase);
@@ -33,22 +34,23 @@
 }
 
 void
-ProbePlan::RotateRemoteTargets(PeerEntries& aEntries)
+ProbeScheduler::RotateRemoteTargets(PeerEntries& aEntries)
 {
   const TimePoint now = this->clock.Now();
-  const auto patience = 3 * this->settings.remoteProbeInterval;
-  const bool isSilent = std::any_of(aEntries.begin(), aEntries.end(), [&](const auto& aItem) {
-    const PeerEntry& entry = aItem.second;
-    return entry.probed && !entry.regional && now - entry.lastHeard > patience;
-  });
-  if (isSilent) {
-    ++this->remoteRound;
+  const auto silenceTimeout = 3 * this->settings.remoteProbeInterval;
+  const bool hasUnresponsiveTarget =
+    std::any_of(aEntries.begin(), aEntries.end(), [&](const auto& aItem) {
+      const PeerEntry& entry = aItem.second;
+      return entry.probed && !entry.regional && now - entry.lastContact > silenceTimeout;
+    });
+  if (hasUnresponsiveTarget) {
+    ++this->remoteRotation;
     this->MarkRemoteTargets(aEntries);
   }
 }
 
 std::vector<ProbeOrder>
-ProbePlan::Due(PeerEntries& aEntries, const RegionGraph& aRegion, bool aIsolated)
+ProbeScheduler::DueProbes(PeerEntries& aEntries, const RegionGraph& aRegion, bool aIsolated)
 {
   std::vector<ProbeOrder> orders;
   for (auto& [key, entry] : aEntries) {
@@ -56,15 +58,15 @@
       this->AddProbes(entry, aEntries, aRegion, orders);
     }
   }
-  this->AddSearchProbes(aEntries, aIsolated, orders);
+  this->AddDiscoveryProbes(aEntries, aIsolated, orders);
   return orders;
 }
 
 void
-ProbePlan::MarkRemoteTargets(PeerEntries& aEntries)
+ProbeScheduler::MarkRemoteTargets(PeerEntries& aEntries)
 {
   const auto weightOf = [&](const PeerEntry* aEntry) {
-    return RendezvousWeight(this->self + this->remoteRound, aEntry->peer.key);
+    return RendezvousWeight(this->self + this->remoteRotation, aEntry->peer.key);
   };
   std::map<std::string_view, std::vector<PeerEntry*>> regions;
   for (auto& [key, entry] : aEntries) {
@@ -80,7 +82,7 @@
     for (std::size_t index = 0; index < candidates.size(); ++index) {
       const bool isChosen = index < this->settings.remotePeersPerRegion;
       if (isChosen) {
-        candidates[index]->lastHeard = this->clock.Now();
+        candidates[index]->lastContact = this->clock.Now();
       }
       candidates[index]->probed = isChosen;
     }
@@ -88,13 +90,13 @@
 }
 
 void
-ProbePlan::AddProbes(PeerEntry& aEntry, const PeerEntries& aEntries, const RegionGraph& aRegion,
-                     std::vector<ProbeOrder>& aOrders)
+ProbeScheduler::AddProbes(PeerEntry& aEntry, const PeerEntries& aEntries,
+                          const RegionGraph& aRegion, std::vector<ProbeOrder>& aOrders)
 {
   const TimePoint now = this->clock.Now();
   const auto interval =
     aEntry.regional ? this->settings.probeInterval : this->settings.remoteProbeInterval;
-  const bool isUnanswered = aEntry.lastHeard < aEntry.lastProbe;
+  const bool isUnanswered = aEntry.lastContact < aEntry.lastProbe;
   if (isUnanswered && !aEntry.indirectSent && aEntry.regional &&
       now - aEntry.lastProbe >= this->settings.ackTimeout) {
     this->AddIndirectProbes(aEntry, aEntries, aRegion, aOrders);
@@ -106,42 +108,43 @@
 }
 
 void
-ProbePlan::AddIndirectProbes(PeerEntry& aEntry, const PeerEntries& aEntries,
-                             const RegionGraph& aRegion, std::vector<ProbeOrder>& aOrders)
+ProbeScheduler::AddIndirectProbes(PeerEntry& aEntry, const PeerEntries& aEntries,
+                                  const RegionGraph& aRegion, std::vector<ProbeOrder>& aOrders)
 {
   aEntry.indirectSent = true;
   const auto& keys = aRegion.Keys();
   const PeerKey subject = aEntry.peer.key;
-  std::size_t asked = 0;
-  for (std::size_t step = 0; step < keys.size() && asked < this->settings.indirectProbes; ++step) {
-    const PeerKey helper = keys[(subject + step) % keys.size()];
-    const auto entry = aEntries.find(helper);
-    const bool canHelp =
-      helper != subject && entry != aEntries.end() && entry->second.peer.state == PeerState::Alive;
-    if (canHelp) {
-      aOrders.push_back({ helper, DatagramKind::IndirectPing, this->nextNonce++, subject });
-      ++asked;
+  std::size_t requested = 0;
+  for (std::size_t step = 0; step < keys.size() && requested < this->settings.indirectProbes;
+       ++step) {
+    const PeerKey proxy = keys[(subject + step) % keys.size()];
+    const auto entry = aEntries.find(proxy);
+    const bool isEligible =
+      proxy != subject && entry != aEntries.end() && entry->second.peer.state == PeerState::Alive;
+    if (isEligible) {
+      aOrders.push_back({ proxy, DatagramKind::IndirectPing, this->nextNonce++, subject });
+      ++requested;
     }
   }
 }
 
 void
-ProbePlan::AddSearchProbes(const PeerEntries& aEntries, bool aIsolated,
-                           std::vector<ProbeOrder>& aOrders)
+ProbeScheduler::AddDiscoveryProbes(const PeerEntries& aEntries, bool aIsolated,
+                                   std::vector<ProbeOrder>& aOrders)
 {
   const TimePoint now = this->clock.Now();
   const auto interval = aIsolated ? this->settings.probeInterval : this->settings.deadProbeInterval;
-  if (aEntries.empty() || now - this->lastSearch < interval) {
+  if (aEntries.empty() || now - this->lastDiscovery < interval) {
     return;
   }
-  this->lastSearch = now;
-  // Cut off: anyone may be the first to answer. Otherwise: a removed daemon that is still listed may
-  // be behind a partition that has healed.
+  this->lastDiscovery = now;
+  // If isolated, probe any daemon that is not probed already. Otherwise probe daemons that were removed but
+  // are still listed: the cause may have been a partition that has healed.
   std::size_t found = 0;
   for (std::size_t step = 0; step < aEntries.size(); ++step) {
-    this->searchPosition = (this->searchPosition + 1) % aEntries.size();
+    this->discoveryPosition = (this->discoveryPosition + 1) % aEntries.size();
     const auto item =
-      std::next(aEntries.begin(), static_cast<std::ptrdiff_t>(this->searchPosition));
+      std::next(aEntries.begin(), static_cast<std::ptrdiff_t>(this->discoveryPosition));
     const PeerEntry& entry = item->second;
     const bool isRemoved = !entry.IsPresent() && entry.listed;
     if (aIsolated ? !entry.probed : isRemoved) {
@@ -154,7 +157,7 @@
 }
 
 ProbeOrder
-ProbePlan::MakePing(PeerKey aTo)
+ProbeScheduler::MakePing(PeerKey aTo)
 {
   return { aTo, DatagramKind::Ping, this->nextNonce++, 0 };
 }
--- a/Lagoonward/Membership/RegionGraph.cpp
+++ b/Lagoonward/Membership/RegionGraph.cpp
@@ -31,15 +31,15 @@
   std::vector<PeerKey> successors;
   const auto add = [&](std::size_t aPosition) {
     const PeerKey key = this->keys[aPosition % count];
-    const bool taken = std::find(successors.begin(), successors.end(), key) != successors.end();
-    if (key != this->self && !taken) {
+    const bool isAdded = std::find(successors.begin(), successors.end(), key) != successors.end();
+    if (key != this->self && !isAdded) {
       successors.push_back(key);
     }
   };
   for (std::size_t index = 0; index < aFanout; ++index) {
     add(aFanout * position + index);
   }
-  // An arc that leads back here is replaced by the nearest neighbours on the ring
+  // Arcs that lead to this daemon or to one already added are replaced by the next daemons in key order
   for (std::size_t step = 1; successors.size() < aFanout && step < count; ++step) {
     add(position + step);
   }
@@ -50,13 +50,13 @@
 RegionGraph::IsMonitorOf(PeerKey aSubject, std::size_t aCount) const
 {
   const auto own = RendezvousWeight(aSubject, this->self);
-  std::size_t better = 0;
+  std::size_t higherRanked = 0;
   for (const PeerKey key : this->keys) {
     if (key != aSubject && key != this->self && RendezvousWeight(aSubject, key) > own) {
-      ++better;
+      ++higherRanked;
     }
   }
-  return better < aCount;
+  return higherRanked < aCount;
 }
 
 const std::vector<PeerKey>&
--- a/Lagoonward/Membership/RegionGraph.h
+++ b/Lagoonward/Membership/RegionGraph.h
@@ -6,17 +6,17 @@
 
 namespace lagoonward {
 
-/// The daemons of one region in the order of their keys, and what follows from it: who passes news to
-/// whom, and who probes whom. Every daemon with the same list computes the same graph. Pure.
+/// The daemons of one region in the order of their keys, the dissemination graph over them, and the
+/// assignment of monitors. Every daemon with the same list computes the same graph. Performs no I/O.
 class RegionGraph
 {
 public:
   explicit RegionGraph(PeerKey aSelf);
 
-  /// Takes the region's daemons that are not dead.
+  /// Rebuilds the list from the region's daemons that are not dead.
   void Rebuild(const PeerEntries& aEntries);
 
-  /// Peers that news goes to from here: the arcs of the generalized de Bruijn graph (Imase and
+  /// Peers that this daemon forwards updates to: its arcs in the generalized de Bruijn graph (Imase and
   /// Itoh), which reaches all n daemons in ceil(log n / log aFanout) steps with aFanout sends each.
   [[nodiscard]] std::vector<PeerKey> Successors(std::size_t aFanout) const;
 
@@ -24,7 +24,7 @@
   /// weight for its key.
   [[nodiscard]] bool IsMonitorOf(PeerKey aSubject, std::size_t aCount) const;
 
-  /// All daemons, this one included, in order.
+  /// The keys of all daemons, this one included, in ascending order.
   [[nodiscard]] const std::vector<PeerKey>& Keys() const;
 
 private:
--- a/Lagoonward/Membership/ReplayWindow.cpp
+++ b/Lagoonward/Membership/ReplayWindow.cpp
@@ -15,8 +15,8 @@
   }
   if (aSequence > this->highest) {
     const std::uint32_t step = aSequence - this->highest;
-    this->seen = step >= kWindowBits ? 0 : this->seen << step;
-    this->seen |= 1U;
+    this->received = step >= kWindowBits ? 0 : this->received << step;
+    this->received |= 1U;
     this->highest = aSequence;
     return true;
   }
@@ -25,8 +25,8 @@
     return false;
   }
   const std::uint64_t bit = std::uint64_t{ 1 } << distance;
-  const bool isNew = (this->seen & bit) == 0;
-  this->seen |= bit;
+  const bool isNew = (this->received & bit) == 0;
+  this->received |= bit;
   return isNew;
 }
 
@@ -45,14 +45,15 @@
   if (!entry.window.Accept(aSequence)) {
     return false;
   }
-  entry.lastHeard = aNow;
+  entry.lastContact = aNow;
   return true;
 }
 
 void
-ReplayGuard::Forget(TimePoint aBefore)
+ReplayGuard::EvictBefore(TimePoint aBefore)
 {
-  std::erase_if(this->entries, [&](const auto& aItem) { return aItem.second.lastHeard < aBefore; });
+  std::erase_if(this->entries,
+                [&](const auto& aItem) { return aItem.second.lastContact < aBefore; });
 }
 
 } // namespace lagoonward
--- a/Lagoonward/Membership/ReplayWindow.h
+++ b/Lagoonward/Membership/ReplayWindow.h
@@ -8,37 +8,37 @@
 
 namespace lagoonward {
 
-/// Remembers which datagrams of one sender's session have arrived: the highest sequence number and
-/// the 64 before it. What is older than that counts as seen.
+/// Sliding window over the sequence numbers of one sender's session: the 64 numbers up to the highest
+/// one received. Older numbers count as received.
 class ReplayWindow
 {
 public:
-  /// Marks a sequence number. @return false when it was seen before or is too old to tell
+  /// Records a sequence number. @return false if it was received before or is older than the window
   [[nodiscard]] bool Accept(std::uint32_t aSequence);
 
 private:
   std::uint32_t highest = 0;
-  std::uint64_t seen = 0; ///< Bit n: `highest - n` has arrived.
+  std::uint64_t received = 0; ///< Bit n: `highest - n` has arrived.
 };
 
-/// Replay protection over all senders. A sender's session only ever rises, so that nothing recorded
-/// before its restart is accepted after it. Bounded: only authenticated senders get an entry.
+/// Replay protection for all senders. A sender's session never decreases, so that a datagram recorded
+/// before its restart is rejected afterwards. Bounded, since only authenticated senders get an entry.
 class ReplayGuard
 {
 public:
-  /// @return false when the datagram is a repetition or belongs to an earlier session
+  /// @return false if the datagram is a replay or belongs to an earlier session
   [[nodiscard]] bool Accept(PeerKey aSender, std::uint64_t aSession, std::uint32_t aSequence,
                             TimePoint aNow);
 
-  /// Forgets senders not heard since that moment.
-  void Forget(TimePoint aBefore);
+  /// Evicts senders whose last datagram was received before aBefore.
+  void EvictBefore(TimePoint aBefore);
 
 private:
   struct Entry
   {
     std::uint64_t session = 0;
     ReplayWindow window;
-    TimePoint lastHeard;
+    TimePoint lastContact;
   };
 
   std::unordered_map<PeerKey, Entry> entries;
--- a/Lagoonward/Membership/WireCodec.cpp
+++ b/Lagoonward/Membership/WireCodec.cpp
@@ -4,7 +4,7 @@
 
 ReadBuffer::ReadBuffer(std::string_view aBytes)
 {
-  // The base class wants mutable pointers, but never writes through them without overflow()
+  // The base class requires mutable pointers, but never writes through them without overflow()
   char* const begin = const_cast<char*>(aBytes.data()); // NOLINT
   this->setg(begin, begin, begin + aBytes.size());
 }
--- a/Lagoonward/Membership/WireCodec.h
+++ b/Lagoonward/Membership/WireCodec.h
@@ -15,17 +15,17 @@
 
 namespace lagoonward {
 
-/// Stream buffer that reads from bytes owned by someone else.
+/// Stream buffer that reads from a byte string that it does not own.
 class ReadBuffer final : public std::streambuf
 {
 public:
   explicit ReadBuffer(std::string_view aBytes);
 
-  /// Bytes not read yet.
+  /// Number of bytes not read yet.
   [[nodiscard]] std::size_t Remaining() const;
 };
 
-/// Stream buffer that appends to a string owned by someone else.
+/// Stream buffer that appends to a string that it does not own.
 class WriteBuffer final : public std::streambuf
 {
 public:
@@ -40,21 +40,21 @@
   std::string& target;
 };
 
-/// Largest byte string inside a message.
+/// Largest byte string in a message.
 inline constexpr std::size_t kMaximumWireBytes = 1U << 20U;
 
-/// (De)serializes a list whose length travels as Count. Longer lists are a bug of the sender.
+/// (De)serializes a list whose length is encoded as Count. A longer list is a bug of the sender.
 template<typename Count, class Archive, typename Element>
 void
 SerializeList(Archive& aArchive, std::vector<Element>& aList)
 {
   if (aList.size() > std::numeric_limits<Count>::max()) {
-    throw cereal::Exception("list too long");
+    throw cereal::Exception("list is too long for its length field");
   }
   auto count = static_cast<Count>(aList.size());
   aArchive(count);
   if constexpr (Archive::is_loading::value) {
-    // Grows with what really arrives, so that a false count allocates nothing
+    // Grows element by element, so that a false count does not cause a large allocation
     aList.clear();
     for (std::size_t index = 0; index < count; ++index) {
       aArchive(aList.emplace_back());
@@ -66,18 +66,18 @@
   }
 }
 
-/// (De)serializes a byte string whose length travels as Count.
+/// (De)serializes a byte string whose length is encoded as Count.
 template<typename Count, class Archive>
 void
 SerializeBytes(Archive& aArchive, std::string& aBytes)
 {
   if (aBytes.size() > std::numeric_limits<Count>::max()) {
-    throw cereal::Exception("string too long");
+    throw cereal::Exception("byte string is too long for its length field");
   }
   auto count = static_cast<Count>(aBytes.size());
   aArchive(count);
   if (count > kMaximumWireBytes) {
-    throw cereal::Exception("string too long");
+    throw cereal::Exception("byte string exceeds the maximum size in a message");
   }
   if constexpr (Archive::is_loading::value) {
     aBytes.resize(count);
@@ -85,14 +85,14 @@
   aArchive(cereal::binary_data(aBytes.data(), aBytes.size()));
 }
 
-/// (De)serializes a map whose length travels as Count.
+/// (De)serializes a map whose length is encoded as Count.
 /// @param aEntry  (de)serializes one key and its value; called with both
 template<typename Count, class Archive, typename Map, typename SerializeEntry>
 void
 SerializeMap(Archive& aArchive, Map& aMap, const SerializeEntry& aEntry)
 {
   if (aMap.size() > std::numeric_limits<Count>::max()) {
-    throw cereal::Exception("map too large");
+    throw cereal::Exception("map is too large for its length field");
   }
   auto count = static_cast<Count>(aMap.size());
   aArchive(count);
@@ -105,14 +105,14 @@
       aMap.insert_or_assign(std::move(key), std::move(value));
     }
   } else {
-    for (auto& [known, value] : aMap) {
-      typename Map::key_type key = known;
+    for (auto& [entryKey, value] : aMap) {
+      typename Map::key_type key = entryKey;
       aEntry(key, value);
     }
   }
 }
 
-/// Bytes of a message, in cereal's portable binary form.
+/// Encodes a message in cereal's portable binary format.
 template<typename Message>
 [[nodiscard]] std::string
 EncodeMessage(const Message& aMessage)
@@ -125,8 +125,8 @@
   return bytes;
 }
 
-/// Reads one message that fills the bytes exactly.
-/// @return InvalidRequest for anything else; never throws
+/// Decodes one message that spans all of the bytes.
+/// @return InvalidRequest otherwise; never throws
 template<typename Message>
 [[nodiscard]] Result<Message>
 DecodeMessage(std::string_view aBytes)
@@ -138,7 +138,7 @@
     Message message;
     archive(message);
     if (buffer.Remaining() != 0) {
-      return Error(ErrorKind::InvalidRequest, "bytes after the message");
+      return Error(ErrorKind::InvalidRequest, "unexpected bytes after the message body");
     }
     return message;
   } catch (const std::exception& exception) {
--- a/UnitTests/Membership/FrameCodecTests.cpp
+++ b/UnitTests/Membership/FrameCodecTests.cpp
@@ -52,7 +52,7 @@
 
 BOOST_AUTO_TEST_SUITE(FrameCodecTests)
 
-BOOST_AUTO_TEST_CASE(DatagramComesBackWhole)
+BOOST_AUTO_TEST_CASE(DatagramRoundTripPreservesAllFields)
 {
   const KeyRing keys = MakeRing();
   const auto opened = OpenDatagram(keys, kReceiver, Seal(keys));
@@ -62,7 +62,7 @@
   BOOST_TEST(opened.value().body.peers.at(1).info->failureDomain == "bergen-a");
 }
 
-BOOST_AUTO_TEST_CASE(SizesOnTheWireAreThoseThatBudgetsCountWith)
+BOOST_AUTO_TEST_CASE(EncodedSizesEqualTheSizeConstants)
 {
   const KeyRing keys = MakeRing();
   Datagram datagram;
@@ -80,7 +80,7 @@
              kDatagramOverhead + kVersionNoteBytes);
 }
 
-BOOST_AUTO_TEST_CASE(AnyChangedByteIsRefused)
+BOOST_AUTO_TEST_CASE(AnyChangedByteIsRejected)
 {
   const KeyRing keys = MakeRing();
   const std::string bytes = Seal(keys);
@@ -91,7 +91,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(AnyTruncationOrExtensionIsRefused)
+BOOST_AUTO_TEST_CASE(AnyTruncationOrExtensionIsRejected)
 {
   const KeyRing keys = MakeRing();
   const std::string bytes = Seal(keys);
@@ -101,7 +101,7 @@
   BOOST_TEST(!OpenDatagram(keys, kReceiver, bytes + "x").has_value());
 }
 
-BOOST_AUTO_TEST_CASE(DatagramForAnotherDaemonIsRefused)
+BOOST_AUTO_TEST_CASE(DatagramForAnotherDaemonIsRejected)
 {
   const KeyRing keys = MakeRing();
   const auto opened = OpenDatagram(keys, kReceiver + 1, Seal(keys));
@@ -109,7 +109,7 @@
   BOOST_TEST((opened.error().kind == ErrorKind::Unauthorized));
 }
 
-BOOST_AUTO_TEST_CASE(AnotherClusterIsToldFromAWrongKey)
+BOOST_AUTO_TEST_CASE(AnotherClusterIsDistinguishedFromAWrongKey)
 {
   const std::string bytes = Seal(MakeRing(kOldKey, "other"));
   const auto opened = OpenDatagram(MakeRing(), kReceiver, bytes);
@@ -117,7 +117,7 @@
   BOOST_TEST(opened.error().message == "from another cluster");
 }
 
-BOOST_AUTO_TEST_CASE(RolloverNeverLocksADaemonOut)
+BOOST_AUTO_TEST_CASE(AdjacentKeyRolloverStepsAcceptEachOther)
 {
   const std::string both = std::string(kOldKey) + "," + std::string(kNewKey);
   const std::string swapped = std::string(kNewKey) + "," + std::string(kOldKey);
@@ -130,7 +130,7 @@
   BOOST_TEST(!OpenDatagram(steps.front(), kReceiver, Seal(steps.back())).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(KeyRingRefusesMalformedText)
+BOOST_AUTO_TEST_CASE(KeyRingRejectsMalformedText)
 {
   for (const std::string_view text :
        { "", "1", "x:00", "1:00",
@@ -138,8 +138,8 @@
          "1:zz0102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f" }) {
     BOOST_TEST(!KeyRing::Parse(text, "test").has_value());
   }
-  const std::string twice = std::string(kOldKey) + "," + std::string(kOldKey);
-  BOOST_TEST(!KeyRing::Parse(twice, "test").has_value());
+  const std::string duplicate = std::string(kOldKey) + "," + std::string(kOldKey);
+  BOOST_TEST(!KeyRing::Parse(duplicate, "test").has_value());
 }
 
 BOOST_AUTO_TEST_CASE(FrameIsBoundToConnectionDirectionAndNumber)
@@ -155,9 +155,9 @@
   BOOST_TEST(!OpenFrame(keys, { "nonce-of-16-byte", true, 5 }, bytes).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(FalseCountAllocatesNothing)
+BOOST_AUTO_TEST_CASE(ListWithAFalseCountIsRejected)
 {
-  // A list that claims 65,535 entries but ends at once
+  // A list whose count is 65,535 but that has no entries
   std::string bytes = EncodeMessage(StateExchange());
   bytes[1] = '\xff';
   bytes[2] = '\xff';
--- a/UnitTests/Membership/PeerTableTests.cpp
+++ b/UnitTests/Membership/PeerTableTests.cpp
@@ -11,10 +11,10 @@
 
 namespace {
 
-constexpr std::size_t kRoom = 1000;
+constexpr std::size_t kByteBudget = 1000;
 constexpr Milliseconds kTick{ 100 };
 
-/// Several peer tables that exchange probes at once, over links that tests cut.
+/// Several peer tables that exchange probes without delay, over links that a test can cut.
 class Network
 {
 public:
@@ -68,18 +68,21 @@
   }
 
   VirtualClock clock;
-  std::function<bool(PeerKey aFrom, PeerKey aTo)> isCut = [](PeerKey, PeerKey) { return false; };
+  std::function<bool(PeerKey aFrom, PeerKey aTo)> isPartitioned = [](PeerKey, PeerKey) {
+    return false;
+  };
   std::vector<HostEntry> hosts;
 
 private:
   bool Deliver(PeerKey aFrom, PeerKey aTo)
   {
-    if (this->stopped.contains(aTo) || this->isCut(aFrom, aTo) || !this->tables.contains(aTo)) {
+    if (this->stopped.contains(aTo) || this->isPartitioned(aFrom, aTo) ||
+        !this->tables.contains(aTo)) {
       return false;
     }
     PeerTable& from = *this->tables.at(aFrom);
     PeerTable& to = *this->tables.at(aTo);
-    for (const PeerChange& change : from.TakeChanges(aTo, kRoom)) {
+    for (const PeerChange& change : from.TakeChanges(aTo, kByteBudget)) {
       to.Apply(change);
     }
     to.OnHeard(aFrom, from.Incarnation(), from.OwnState());
@@ -127,7 +130,7 @@
 
 BOOST_AUTO_TEST_SUITE(PeerTableTests)
 
-BOOST_AUTO_TEST_CASE(DeadDaemonIsSuspectedFirstAndRemovedByAll)
+BOOST_AUTO_TEST_CASE(StoppedDaemonIsSuspectedBeforeAllDaemonsRemoveIt)
 {
   Network network(MakeDaemons(12));
   network.Run(Seconds(5));
@@ -147,7 +150,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(RestartedDaemonComesBackWithItsHigherIncarnation)
+BOOST_AUTO_TEST_CASE(RestartedDaemonRejoinsWithAHigherIncarnation)
 {
   Network network(MakeDaemons(6));
   network.Run(Seconds(3));
@@ -167,7 +170,7 @@
   network.Run(Seconds(3));
   const PeerKey one = ToPeerKey(DaemonId(1));
   const PeerKey two = ToPeerKey(DaemonId(2));
-  network.isCut = [=](PeerKey aFrom, PeerKey aTo) {
+  network.isPartitioned = [=](PeerKey aFrom, PeerKey aTo) {
     return (aFrom == one && aTo == two) || (aFrom == two && aTo == one);
   };
   for (int step = 0; step < 300; ++step) {
@@ -177,11 +180,11 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(LostDatagramsRemoveNobody)
+BOOST_AUTO_TEST_CASE(DatagramLossRemovesNoDaemon)
 {
   Network network(MakeDaemons(12));
   std::mt19937 random(1);
-  network.isCut = [&](PeerKey, PeerKey) {
+  network.isPartitioned = [&](PeerKey, PeerKey) {
     return std::uniform_real_distribution<>(0, 1)(random) < 0.05;
   };
   for (int step = 0; step < 600; ++step) {
@@ -192,7 +195,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(RegionsThatLoseEachOtherRemoveNobodyAndSaySo)
+BOOST_AUTO_TEST_CASE(PartitionedRegionsRemoveNoDaemonAndReportUnreachableRegions)
 {
   Network network(MakeDaemons(12, 3));
   network.Run(Seconds(3));
@@ -200,7 +203,7 @@
   for (std::size_t index = 0; index < 12; ++index) {
     regionOf[ToPeerKey(DaemonId(index))] = index % 3;
   }
-  network.isCut = [&](PeerKey aFrom, PeerKey aTo) {
+  network.isPartitioned = [&](PeerKey aFrom, PeerKey aTo) {
     return (regionOf[aFrom] == 0) != (regionOf[aTo] == 0);
   };
   network.Run(Seconds(180));
@@ -211,28 +214,30 @@
   BOOST_TEST_REQUIRE(view != nullptr);
   BOOST_TEST(view->unreachableRegions.size() == 2U);
 
-  // Heals
-  network.isCut = [](PeerKey, PeerKey) { return false; };
+  // The partition heals
+  network.isPartitioned = [](PeerKey, PeerKey) { return false; };
   network.Run(Seconds(10));
   const auto healed = network.Table(DaemonId(0)).TakeView();
   BOOST_TEST_REQUIRE(healed != nullptr);
   BOOST_TEST(healed->unreachableRegions.empty());
 }
 
-BOOST_AUTO_TEST_CASE(DaemonThatHearsNobodySuspectsNobody)
+BOOST_AUTO_TEST_CASE(IsolatedDaemonRemovesNoneAndRejoins)
 {
   Network network(MakeDaemons(8));
   network.Run(Seconds(3));
-  const PeerKey alone = ToPeerKey(DaemonId(0));
-  network.isCut = [=](PeerKey aFrom, PeerKey aTo) { return aFrom == alone || aTo == alone; };
+  const PeerKey isolated = ToPeerKey(DaemonId(0));
+  network.isPartitioned = [=](PeerKey aFrom, PeerKey aTo) {
+    return aFrom == isolated || aTo == isolated;
+  };
   network.Run(Seconds(30));
   for (std::size_t subject = 1; subject < 8; ++subject) {
     BOOST_TEST((network.StateOf(DaemonId(subject), DaemonId(0)) != PeerState::Dead));
   }
   BOOST_TEST((network.StateOf(DaemonId(0), DaemonId(1)) == PeerState::Dead));
 
-  // It finds back, although the others have removed it
-  network.isCut = [](PeerKey, PeerKey) { return false; };
+  // The isolated daemon rejoins, although the others have removed it
+  network.isPartitioned = [](PeerKey, PeerKey) { return false; };
   network.Run(Seconds(15));
   for (std::size_t subject = 1; subject < 8; ++subject) {
     BOOST_TEST((network.StateOf(DaemonId(subject), DaemonId(0)) == PeerState::Alive));
@@ -240,7 +245,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(HalfOfADividedRegionFindsTheOtherAgain)
+BOOST_AUTO_TEST_CASE(HalvesOfAPartitionedRegionMergeAfterHealing)
 {
   Network network(MakeDaemons(10));
   network.Run(Seconds(3));
@@ -248,12 +253,12 @@
   for (std::size_t index = 0; index < 5; ++index) {
     left.insert(ToPeerKey(DaemonId(index)));
   }
-  network.isCut = [&](PeerKey aFrom, PeerKey aTo) {
+  network.isPartitioned = [&](PeerKey aFrom, PeerKey aTo) {
     return left.contains(aFrom) != left.contains(aTo);
   };
   network.Run(Seconds(30));
   BOOST_TEST((network.StateOf(DaemonId(9), DaemonId(0)) == PeerState::Dead));
-  network.isCut = [](PeerKey, PeerKey) { return false; };
+  network.isPartitioned = [](PeerKey, PeerKey) { return false; };
   network.Run(Seconds(60));
   for (std::size_t viewer = 0; viewer < 10; ++viewer) {
     for (std::size_t subject = 0; subject < 10; ++subject) {
@@ -263,7 +268,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(PausedDaemonAccusesNobodyWhenItWakes)
+BOOST_AUTO_TEST_CASE(PausedDaemonSuspectsNoDaemonWhenItResumes)
 {
   Network network(MakeDaemons(6));
   network.Run(Seconds(3));
@@ -280,7 +285,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(LeavingIsKnownToAllAndSurvivesOldNews)
+BOOST_AUTO_TEST_CASE(LeavingReachesAllDaemonsAndIsNotRevertedByStaleUpdates)
 {
   Network network(MakeDaemons(9));
   network.Run(Seconds(3));
@@ -293,21 +298,21 @@
   BOOST_TEST((network.StateOf(DaemonId(4), DaemonId(0)) == PeerState::Leaving));
 }
 
-BOOST_AUTO_TEST_CASE(UnlistedDaemonIsTakenInFromItsOwnAnnouncement)
+BOOST_AUTO_TEST_CASE(UnlistedDaemonIsAddedOnlyFromAChangeWithMatchingInfo)
 {
   VirtualClock clock;
   PeerTable table(clock, MakeDaemons(1).front(), 1, PeerTableSettings());
-  const PeerInfo stranger{ "daemon-new", "127.0.0.1", 5000, "domain-0", "region-0" };
-  table.Apply({ stranger.Key(), PeerState::Alive, 3, std::nullopt });
-  BOOST_TEST((table.Find(stranger.Key()) == nullptr));
-  table.Apply({ stranger.Key() + 1, PeerState::Alive, 3, stranger });
-  BOOST_TEST((table.Find(stranger.Key() + 1) == nullptr));
-  table.Apply({ stranger.Key(), PeerState::Alive, 3, stranger });
-  BOOST_TEST_REQUIRE((table.Find(stranger.Key()) != nullptr));
-  BOOST_TEST(table.Find(stranger.Key())->info.port == 5000);
+  const PeerInfo unlisted{ "daemon-new", "127.0.0.1", 5000, "domain-0", "region-0" };
+  table.Apply({ unlisted.Key(), PeerState::Alive, 3, std::nullopt });
+  BOOST_TEST((table.Find(unlisted.Key()) == nullptr));
+  table.Apply({ unlisted.Key() + 1, PeerState::Alive, 3, unlisted });
+  BOOST_TEST((table.Find(unlisted.Key() + 1) == nullptr));
+  table.Apply({ unlisted.Key(), PeerState::Alive, 3, unlisted });
+  BOOST_TEST_REQUIRE((table.Find(unlisted.Key()) != nullptr));
+  BOOST_TEST(table.Find(unlisted.Key())->info.port == 5000);
 }
 
-BOOST_AUTO_TEST_CASE(ChangesOfOneDatagramStayWithinTheirRoom)
+BOOST_AUTO_TEST_CASE(ChangesOfOneDatagramStayWithinTheByteBudget)
 {
   VirtualClock clock;
   PeerTable table(clock, MakeDaemons(1).front(), 1, PeerTableSettings());
@@ -317,14 +322,14 @@
   }
   for (int round = 0; round < 100; ++round) {
     std::size_t bytes = 0;
-    for (const PeerChange& change : table.TakeChanges(0, kRoom)) {
+    for (const PeerChange& change : table.TakeChanges(0, kByteBudget)) {
       bytes += EncodeMessage(change).size() - 1;
     }
-    BOOST_TEST(bytes <= kRoom);
+    BOOST_TEST(bytes <= kByteBudget);
   }
 }
 
-BOOST_AUTO_TEST_CASE(ALaterListTellsWhereADaemonKnownByItsAddressStands)
+BOOST_AUTO_TEST_CASE(LaterHostListSetsTheFailureDomainOfASeedDaemon)
 {
   VirtualClock clock;
   const std::vector<PeerInfo> daemons = MakeDaemons(2);
--- a/UnitTests/Membership/PeerTransportTests.cpp
+++ b/UnitTests/Membership/PeerTransportTests.cpp
@@ -16,7 +16,7 @@
 
 constexpr std::string_view kKey =
   "1:000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f";
-constexpr Seconds kPatience{ 20 };
+constexpr Seconds kTestTimeout{ 20 };
 
 KeyRing
 MakeRing()
@@ -24,7 +24,7 @@
   return KeyRing::Parse(kKey, "test").value();
 }
 
-/// One daemon's transport on a loop of its own.
+/// The transport of one daemon, with its own control loop.
 class Node
 {
 public:
@@ -52,18 +52,18 @@
     return { this->key, "127.0.0.1", this->transport.Port() };
   }
 
-  Result<std::string> Ask(const PeerAddress& aTo, const std::string& aBytes,
-                          Milliseconds aTimeout = Seconds(10))
+  Result<std::string> SendRequest(const PeerAddress& aTo, const std::string& aBytes,
+                                  Milliseconds aTimeout = Seconds(10))
   {
     std::promise<Result<std::string>> promise;
-    auto answer = promise.get_future();
+    auto response = promise.get_future();
     this->loop.Post([&] {
       this->transport.Request(
         aTo, RequestType::Claim, aBytes, aTimeout,
-        [&](const Result<std::string>& aAnswer) { promise.set_value(aAnswer); });
+        [&](const Result<std::string>& aResponse) { promise.set_value(aResponse); });
     });
-    BOOST_TEST_REQUIRE((answer.wait_for(kPatience) == std::future_status::ready));
-    return answer.get();
+    BOOST_TEST_REQUIRE((response.wait_for(kTestTimeout) == std::future_status::ready));
+    return response.get();
   }
 
   [[nodiscard]] TransportCounters Counters()
@@ -79,13 +79,13 @@
   PeerTransport transport;
 };
 
-/// Waits until a condition holds, within the patience.
+/// Waits up to kTestTimeout for a condition. @return whether it held
 template<typename Condition>
 bool
 Eventually(Condition aCondition)
 {
   constexpr Milliseconds kStep{ 5 };
-  for (Milliseconds waited{ 0 }; waited < kPatience; waited += kStep) {
+  for (Milliseconds waited{ 0 }; waited < kTestTimeout; waited += kStep) {
     if (aCondition()) {
       return true;
     }
@@ -98,104 +98,105 @@
 
 BOOST_AUTO_TEST_SUITE(PeerTransportTests)
 
-BOOST_AUTO_TEST_CASE(RequestIsAnsweredFromAnotherThread)
+BOOST_AUTO_TEST_CASE(RequestCanBeAnsweredFromAnotherThread)
 {
-  Node asker(1);
+  Node requester(1);
   Node server(2);
   std::thread worker;
   server.transport.OnRequest(RequestType::Claim, [&](PeerKey aSender, std::string_view aBytes,
                                                      const PeerTransport::Respond& aRespond) {
     worker = std::thread(
-      [aRespond, answer = std::to_string(aSender) + std::string(aBytes)] { aRespond(answer); });
+      [aRespond, response = std::to_string(aSender) + std::string(aBytes)] { aRespond(response); });
   });
-  asker.Start();
+  requester.Start();
   server.Start();
   const std::string large(300000, 'x');
-  const auto first = asker.Ask(server.Address(), "-small");
+  const auto first = requester.SendRequest(server.Address(), "-small");
   worker.join();
-  const auto second = asker.Ask(server.Address(), large);
+  const auto second = requester.SendRequest(server.Address(), large);
   worker.join();
   BOOST_TEST(first.value() == "1-small");
   BOOST_TEST(second.value() == "1" + large);
 }
 
-// Found while it was traced why news of leaving endpoints came late: a connection takes no more than 64 KiB from a stranger.
-// A larger message that was the first on its connection closed it, and the next try opened a new one with the same end.
-BOOST_AUTO_TEST_CASE(ALargeRequestMayBeTheFirstOnItsConnection)
+// Guards against a failure that delayed updates about leaving endpoints. The accepting side closes a connection whose
+// first frame exceeds 64 KiB, because the sender is not authenticated yet. A larger first request therefore closed its
+// connection, and each retry opened a new one that was closed in the same way.
+BOOST_AUTO_TEST_CASE(FirstRequestOnAConnectionCanExceedTheFirstFrameLimit)
 {
-  Node asker(1);
+  Node requester(1);
   Node server(2);
   server.transport.OnRequest(RequestType::Claim, [](PeerKey, std::string_view aBytes,
                                                     const PeerTransport::Respond& aRespond) {
     aRespond(std::string(aBytes));
   });
-  asker.Start();
+  requester.Start();
   server.Start();
   const std::string large(300000, 'x');
-  const auto answer = asker.Ask(server.Address(), large);
-  BOOST_TEST((answer.has_value() && answer.value() == large));
+  const auto response = requester.SendRequest(server.Address(), large);
+  BOOST_TEST((response.has_value() && response.value() == large));
 }
 
-BOOST_AUTO_TEST_CASE(ErrorsOfThePeerComeThrough)
+BOOST_AUTO_TEST_CASE(PeerErrorsAreReturnedToTheRequester)
 {
-  Node asker(1);
+  Node requester(1);
   Node server(2);
   server.transport.OnRequest(RequestType::Claim,
                              [](PeerKey, std::string_view, const PeerTransport::Respond& aRespond) {
                                aRespond(Error(ErrorKind::NotLeader, "someone else"));
                              });
-  asker.Start();
+  requester.Start();
   server.Start();
-  const auto answer = asker.Ask(server.Address(), "x");
-  BOOST_TEST_REQUIRE(!answer.has_value());
-  BOOST_TEST((answer.error().kind == ErrorKind::NotLeader));
-  BOOST_TEST(answer.error().message == "someone else");
+  const auto response = requester.SendRequest(server.Address(), "x");
+  BOOST_TEST_REQUIRE(!response.has_value());
+  BOOST_TEST((response.error().kind == ErrorKind::NotLeader));
+  BOOST_TEST(response.error().message == "someone else");
 }
 
-BOOST_AUTO_TEST_CASE(SilentConnectionIsReplacedByANewOne)
+BOOST_AUTO_TEST_CASE(ConnectionIsReplacedAfterARequestTimeout)
 {
-  Node asker(1);
+  Node requester(1);
   Node server(2);
   std::atomic<int> requests{ 0 };
   server.transport.OnRequest(
     RequestType::Claim, [&](PeerKey, std::string_view, const PeerTransport::Respond& aRespond) {
-      // The first request gets no answer, as when something on the way has lost the connection
+      // The first request gets no response, as if the network had dropped the connection silently
       if (++requests > 1) {
         aRespond(std::string("answered"));
       }
     });
-  asker.Start();
+  requester.Start();
   server.Start();
-  const auto first = asker.Ask(server.Address(), "x", Milliseconds(200));
+  const auto first = requester.SendRequest(server.Address(), "x", Milliseconds(200));
   BOOST_TEST_REQUIRE(!first.has_value());
   BOOST_TEST((first.error().kind == ErrorKind::DeadlineExceeded));
-  BOOST_TEST(asker.Ask(server.Address(), "x").value() == "answered");
+  BOOST_TEST(requester.SendRequest(server.Address(), "x").value() == "answered");
 }
 
-BOOST_AUTO_TEST_CASE(RefusedConnectionIsKnownNotToHaveRun)
+BOOST_AUTO_TEST_CASE(RefusedConnectionFailsWithPlatformUnavailable)
 {
-  Node asker(1);
-  asker.Start();
-  PeerAddress nobody{ 2, "127.0.0.1", 0 };
+  Node requester(1);
+  requester.Start();
+  PeerAddress unusedAddress{ 2, "127.0.0.1", 0 };
   {
-    // A port that was free a moment ago
-    nobody.port = PeerSockets::Open("127.0.0.1", 0).value().port;
+    // Binds a free port and closes it again, so that nothing listens on it
+    unusedAddress.port = PeerSockets::Open("127.0.0.1", 0).value().port;
   }
-  const auto answer = asker.Ask(nobody, "x");
-  BOOST_TEST_REQUIRE(!answer.has_value());
-  BOOST_TEST((answer.error().kind == ErrorKind::PlatformUnavailable));
+  const auto response = requester.SendRequest(unusedAddress, "x");
+  BOOST_TEST_REQUIRE(!response.has_value());
+  BOOST_TEST((response.error().kind == ErrorKind::PlatformUnavailable));
 }
 
-BOOST_AUTO_TEST_CASE(DatagramIsTakenOnceAndStrangersChangeNothing)
+BOOST_AUTO_TEST_CASE(DatagramIsAcceptedOnceAndInvalidDatagramsAreRejected)
 {
   Node sender(1);
   Node receiver(2);
-  std::atomic<int> taken{ 0 };
-  receiver.transport.OnDatagram([&](PeerKey, const Datagram&) { ++taken; });
+  std::atomic<int> accepted{ 0 };
+  receiver.transport.OnDatagram([&](PeerKey, const Datagram&) { ++accepted; });
   sender.Start();
   receiver.Start();
 
-  // A recorded datagram, sent three times, among noise
+  // A recorded datagram that is sent three times, among invalid ones
   DatagramHeader header;
   header.sender = 1;
   header.session = 1;
@@ -204,20 +205,21 @@
   const std::string recorded = SealDatagram(MakeRing(), 2, header, Datagram());
   header.sequence = 2;
   header.sentAt -= 3600;
-  const std::string old = SealDatagram(MakeRing(), 2, header, Datagram());
+  const std::string expired = SealDatagram(MakeRing(), 2, header, Datagram());
   UniqueFd socket(::socket(AF_INET, SOCK_DGRAM, 0));
   const auto address = ToSocketAddress("127.0.0.1", receiver.transport.Port()).value();
-  const std::string junk(1200, 'j');
-  for (const std::string& bytes : { recorded, junk, recorded, old, std::string(), recorded }) {
+  const std::string garbage(1200, 'j');
+  for (const std::string& bytes :
+       { recorded, garbage, recorded, expired, std::string(), recorded }) {
     ::sendto(socket.Get(), bytes.data(), bytes.size(), 0,
              reinterpret_cast<const sockaddr*>(&address), sizeof(address));
   }
   BOOST_TEST(Eventually([&] { return receiver.Counters().datagramsReceived == 6; }));
-  BOOST_TEST(taken == 1);
+  BOOST_TEST(accepted == 1);
   BOOST_TEST(receiver.Counters().datagramsRefused == 5U);
 }
 
-BOOST_AUTO_TEST_CASE(StrangersOnTcpAreCutOff)
+BOOST_AUTO_TEST_CASE(UnauthenticatedTcpConnectionsAreClosed)
 {
   PeerTransportSettings settings;
   settings.frameTimeout = Milliseconds(100);
@@ -227,7 +229,7 @@
     RequestType::Claim,
     [&](PeerKey, std::string_view, const PeerTransport::Respond&) { ++requests; });
   server.Start();
-  const auto isCutOff = [&](const std::string& aBytes) {
+  const auto isDisconnected = [&](const std::string& aBytes) {
     UniqueFd socket = BeginConnect("127.0.0.1", server.transport.Port()).value();
     pollfd writable{ socket.Get(), POLLOUT, 0 };
     ::poll(&writable, 1, 1000);
@@ -240,12 +242,12 @@
       return count == 0 || (count < 0 && errno == ECONNRESET);
     });
   };
-  // Says nothing; announces too much; sends a frame with a wrong tag
-  BOOST_TEST(isCutOff(""));
-  BOOST_TEST(isCutOff("\xff\xff\xff\x7f"));
+  // Sends nothing; announces a frame over the size limit; sends a frame with a wrong tag
+  BOOST_TEST(isDisconnected(""));
+  BOOST_TEST(isDisconnected("\xff\xff\xff\x7f"));
   const std::string frame = SealFrame(MakeRing(), { "not-the-nonce---", true, 0 },
                                       { FrameKind::Request, 1, 1, 6, "claim" });
-  BOOST_TEST(isCutOff(WriteFrameLength(frame.size()) + frame));
+  BOOST_TEST(isDisconnected(WriteFrameLength(frame.size()) + frame));
   BOOST_TEST(requests == 0);
 }
 
--- a/UnitTests/Membership/RegionGraphTests.cpp
+++ b/UnitTests/Membership/RegionGraphTests.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// The graph as each of aCount daemons sees it.
+/// The graphs that aCount daemons compute, by daemon.
 std::map<PeerKey, RegionGraph>
 MakeGraphs(std::size_t aCount)
 {
@@ -31,24 +31,24 @@
   return graphs;
 }
 
-/// Rounds until news of one daemon has reached all; zero when it never does.
+/// Rounds until an update of one daemon has reached all daemons; zero if it never does.
 std::size_t
 RoundsToReachAll(const std::map<PeerKey, RegionGraph>& aGraphs, PeerKey aFrom, std::size_t aFanout)
 {
   std::set<PeerKey> reached{ aFrom };
-  std::vector<PeerKey> fresh{ aFrom };
+  std::vector<PeerKey> frontier{ aFrom };
   std::size_t rounds = 0;
-  while (!fresh.empty() && reached.size() < aGraphs.size()) {
+  while (!frontier.empty() && reached.size() < aGraphs.size()) {
     ++rounds;
     std::vector<PeerKey> next;
-    for (const PeerKey key : fresh) {
+    for (const PeerKey key : frontier) {
       for (const PeerKey successor : aGraphs.at(key).Successors(aFanout)) {
         if (reached.insert(successor).second) {
           next.push_back(successor);
         }
       }
     }
-    fresh = std::move(next);
+    frontier = std::move(next);
   }
   return reached.size() == aGraphs.size() ? rounds : 0;
 }
@@ -57,7 +57,7 @@
 
 BOOST_AUTO_TEST_SUITE(RegionGraphTests)
 
-BOOST_AUTO_TEST_CASE(NewsOfEveryDaemonReachesAllInLogarithmicallyManySteps)
+BOOST_AUTO_TEST_CASE(UpdatesOfEveryDaemonReachAllInLogarithmicallyManyRounds)
 {
   for (const std::size_t count : { 2U, 3U, 7U, 8U, 32U, 127U }) {
     const auto graphs = MakeGraphs(count);
@@ -75,7 +75,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(EveryDaemonHasItsMonitors)
+BOOST_AUTO_TEST_CASE(EveryDaemonHasThreeMonitors)
 {
   const auto graphs = MakeGraphs(20);
   for (const auto& subject : graphs) {
--- a/UnitTests/Membership/ReplayWindowTests.cpp
+++ b/UnitTests/Membership/ReplayWindowTests.cpp
@@ -6,7 +6,7 @@
 
 BOOST_AUTO_TEST_SUITE(ReplayWindowTests)
 
-BOOST_AUTO_TEST_CASE(EachNumberIsTakenOnceInAnyOrder)
+BOOST_AUTO_TEST_CASE(EachSequenceNumberIsAcceptedOnceInAnyOrder)
 {
   ReplayWindow window;
   for (const std::uint32_t number : { 3U, 1U, 2U, 10U, 9U }) {
@@ -15,7 +15,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(WhatIsTooOldToTellIsRefused)
+BOOST_AUTO_TEST_CASE(SequenceNumbersOlderThanTheWindowAreRejected)
 {
   ReplayWindow window;
   BOOST_TEST(window.Accept(100));
@@ -24,7 +24,7 @@
   BOOST_TEST(!window.Accept(0));
 }
 
-BOOST_AUTO_TEST_CASE(NothingFromBeforeARestartIsTaken)
+BOOST_AUTO_TEST_CASE(DatagramsOfAnEarlierSessionAreRejected)
 {
   ReplayGuard guard;
   const TimePoint now{};
