--- a/Lagoonward/Membership/Messages.h
+++ b/Lagoonward/Membership/Messages.h
@@ -173,8 +173,8 @@
 enum class FrameKind : std::uint8_t
 {
   Request,
-  Answer,  ///< Bytes are the response body.
-  Failure, ///< Type is an ErrorKind, bytes are the error message.
+  Response, ///< Bytes are the response body.
+  Failure,  ///< Type is an ErrorKind, bytes are the error message.
   Hello, ///< Only authenticates the connecting side, before a first frame over `maximumFirstFrame`.
 };
 
--- a/Lagoonward/Membership/PeerExchange.cpp
+++ b/Lagoonward/Membership/PeerExchange.cpp
@@ -15,10 +15,10 @@
 
 } // namespace
 
-PeerExchange::PeerExchange(const Clock& aClock, Parts aParts, const MembershipSettings& aSettings,
-                           std::function<void()> aOnUpdate)
+PeerExchange::PeerExchange(const Clock& aClock, Components aComponents,
+                           const MembershipSettings& aSettings, std::function<void()> aOnUpdate)
   : clock(aClock)
-  , parts(aParts)
+  , components(aComponents)
   , settings(aSettings)
   , onUpdate(std::move(aOnUpdate))
   , log("membership")
@@ -31,7 +31,7 @@
 PeerExchange::Register()
 {
   using Respond = PeerTransport::Respond;
-  PeerTransport& transport = this->parts.transport;
+  PeerTransport& transport = this->components.transport;
   transport.OnRequest(RequestType::Join,
                       [this](PeerKey, std::string_view aBytes, const Respond& aRespond) {
                         this->HandleJoin(aBytes, aRespond);
@@ -58,8 +58,8 @@
 PeerExchange::JoinIfNeeded()
 {
   const TimePoint now = this->clock.Now();
-  const auto& region = this->parts.peers.Region().Keys();
-  const auto all = this->parts.peers.AllChanges();
+  const auto& region = this->components.peers.Region().Keys();
+  const auto all = this->components.peers.AllChanges();
   if (this->joined || all.size() < 2 ||
       (this->lastJoin && now - *this->lastJoin < this->settings.requestTimeout)) {
     return;
@@ -94,7 +94,7 @@
   const TimePoint now = this->clock.Now();
   const std::uint64_t own = this->DigestFor(aPeer);
   const std::uint64_t fullDigest =
-    CombineHashes(this->parts.loads.StateDigest(), this->parts.states.Digest(true));
+    CombineHashes(this->components.loads.StateDigest(), this->components.states.Digest(true));
   if (fullDigest != this->lastDigest) {
     this->lastDigest = fullDigest;
     this->digestSince = now;
@@ -107,14 +107,15 @@
 }
 
 void
-PeerExchange::TakeNote(PeerKey aPeer, const VersionNote& aNote)
+PeerExchange::TakeNote(PeerKey aPeer, const VersionNote& aAnnouncement)
 {
   const std::uint64_t fetchKey =
-    CombineHashes(aNote.topic, static_cast<std::uint64_t>(aNote.version));
-  if (!this->parts.states.IsNews(aNote) || !this->BeginFetch(fetchKey)) {
+    CombineHashes(aAnnouncement.topic, static_cast<std::uint64_t>(aAnnouncement.version));
+  if (!this->components.states.IsNews(aAnnouncement) || !this->BeginFetch(fetchKey)) {
     return;
   }
-  this->SendRequest(aPeer, RequestType::SharedState, EncodeMessage(LookupRequest{ aNote.topic }),
+  this->SendRequest(aPeer, RequestType::SharedState,
+                    EncodeMessage(LookupRequest{ aAnnouncement.topic }),
                     [this, fetchKey](const Result<std::string>& aResponse) {
                       this->pendingFetches.erase(fetchKey);
                       if (aResponse) {
@@ -126,20 +127,20 @@
 PeerExchange::Notes
 PeerExchange::TakeNotes()
 {
-  return std::exchange(this->notes, {});
+  return std::exchange(this->announcements, {});
 }
 
 void
 PeerExchange::QueueNote(const SharedState& aState)
 {
-  auto& target = aState.IsRegional() ? this->notes.regional : this->notes.global;
+  auto& target = aState.IsRegional() ? this->announcements.regional : this->announcements.global;
   target.push_back({ aState.Topic(), aState.version });
 }
 
 void
 PeerExchange::FetchProfile(PeerKey aPeer, std::uint32_t aProfile)
 {
-  if (aProfile == 0 || this->parts.loads.FindProfile(aProfile) != nullptr ||
+  if (aProfile == 0 || this->components.loads.FindProfile(aProfile) != nullptr ||
       !this->BeginFetch(aProfile)) {
     return;
   }
@@ -151,7 +152,7 @@
                       }
                       auto profile = DecodeMessage<EndpointProfile>(aResponse.value());
                       if (profile && profile.value().Hash() == aProfile) {
-                        this->parts.loads.AddProfile(std::move(profile.value()));
+                        this->components.loads.AddProfile(std::move(profile.value()));
                       }
                     });
 }
@@ -166,7 +167,7 @@
 void
 PeerExchange::FindRecord(std::uint64_t aKeyHash, std::vector<PeerKey> aHolders, Found aHandler)
 {
-  if (auto own = this->parts.records.Find(aKeyHash)) {
+  if (auto own = this->components.records.Find(aKeyHash)) {
     aHandler(std::move(own));
     return;
   }
@@ -195,10 +196,10 @@
 std::uint64_t
 PeerExchange::DigestFor(PeerKey aPeer) const
 {
-  if (!this->parts.peers.IsRegional(aPeer)) {
-    return this->parts.states.Digest(false);
+  if (!this->components.peers.IsRegional(aPeer)) {
+    return this->components.states.Digest(false);
   }
-  return CombineHashes(this->parts.loads.StateDigest(), this->parts.states.Digest(true));
+  return CombineHashes(this->components.loads.StateDigest(), this->components.states.Digest(true));
 }
 
 void
@@ -209,12 +210,12 @@
     aRespond(MalformedRequest());
     return;
   }
-  this->parts.peers.Apply(joiner.value());
-  const bool isRegional = this->parts.peers.IsRegional(joiner.value().key);
+  this->components.peers.Apply(joiner.value());
+  const bool isRegional = this->components.peers.IsRegional(joiner.value().key);
   StateExchange exchange = this->CollectStates(isRegional);
-  exchange.peers = this->parts.peers.AllChanges();
+  exchange.peers = this->components.peers.AllChanges();
   if (isRegional) {
-    exchange.loads = this->parts.loads.AllLoads();
+    exchange.loads = this->components.loads.AllLoads();
   }
   aRespond(EncodeMessage(exchange));
 }
@@ -229,14 +230,15 @@
     return;
   }
   this->ApplyExchange(aSender, exchange.value());
-  aRespond(EncodeMessage(this->CollectStates(this->parts.peers.IsRegional(aSender))));
+  aRespond(EncodeMessage(this->CollectStates(this->components.peers.IsRegional(aSender))));
 }
 
 void
 PeerExchange::HandleSharedState(std::string_view aBytes, const PeerTransport::Respond& aRespond)
 {
   const auto lookup = DecodeMessage<LookupRequest>(aBytes);
-  const SharedState* const state = lookup ? this->parts.states.Find(lookup.value().key) : nullptr;
+  const SharedState* const state =
+    lookup ? this->components.states.Find(lookup.value().key) : nullptr;
   if (state == nullptr) {
     aRespond(
       Error(ErrorKind::InvalidRequest, "no shared state with the requested topic is known here"));
@@ -250,7 +252,7 @@
 {
   const auto lookup = DecodeMessage<LookupRequest>(aBytes);
   const EndpointProfile* const profile =
-    lookup ? this->parts.loads.FindProfile(static_cast<std::uint32_t>(lookup.value().key))
+    lookup ? this->components.loads.FindProfile(static_cast<std::uint32_t>(lookup.value().key))
            : nullptr;
   if (profile == nullptr) {
     aRespond(Error(ErrorKind::InvalidRequest,
@@ -269,11 +271,11 @@
     return;
   }
   if (request.value().isPlacement) {
-    this->parts.records.Put(request.value().record);
+    this->components.records.Put(request.value().record);
     aRespond(std::string());
     return;
   }
-  const auto record = this->parts.records.Find(request.value().record.keyHash);
+  const auto record = this->components.records.Find(request.value().record.keyHash);
   if (!record) {
     aRespond(
       Error(ErrorKind::InvalidRequest, "no soft record with the requested key is held here"));
@@ -286,7 +288,7 @@
 PeerExchange::Repair(PeerKey aPeer)
 {
   this->lastRepair = this->clock.Now();
-  const bool isRegional = this->parts.peers.IsRegional(aPeer);
+  const bool isRegional = this->components.peers.IsRegional(aPeer);
   this->SendRequest(aPeer, RequestType::States, EncodeMessage(this->CollectStates(isRegional)),
                     [this, aPeer](const Result<std::string>& aResponse) {
                       const auto exchange = aResponse
@@ -302,17 +304,17 @@
 PeerExchange::ApplyExchange(PeerKey aPeer, const StateExchange& aExchange)
 {
   for (const PeerChange& change : aExchange.peers) {
-    this->parts.peers.Apply(change);
+    this->components.peers.Apply(change);
   }
-  for (const StateFact& fact : aExchange.states) {
-    this->parts.loads.Merge(fact);
+  for (const StateFact& update : aExchange.states) {
+    this->components.loads.Merge(update);
   }
-  for (const LoadFact& fact : aExchange.loads) {
-    this->parts.loads.Merge(fact);
-    this->FetchProfile(aPeer, fact.profile);
+  for (const LoadFact& update : aExchange.loads) {
+    this->components.loads.Merge(update);
+    this->FetchProfile(aPeer, update.profile);
   }
-  for (const VersionNote& note : aExchange.versions) {
-    this->TakeNote(aPeer, note);
+  for (const VersionNote& announcement : aExchange.versions) {
+    this->TakeNote(aPeer, announcement);
   }
   this->onUpdate();
 }
@@ -324,7 +326,7 @@
   if (!state) {
     return;
   }
-  if (this->parts.states.Adopt(state.value())) {
+  if (this->components.states.Adopt(state.value())) {
     this->QueueNote(state.value());
     this->onUpdate();
   }
@@ -334,15 +336,15 @@
 PeerExchange::SendRequest(PeerKey aPeer, RequestType aType, std::string aBytes,
                           PeerTransport::ResponseHandler aHandler)
 {
-  const Peer* const peer = this->parts.peers.Find(aPeer);
+  const Peer* const peer = this->components.peers.Find(aPeer);
   if (peer == nullptr) {
     aHandler(Error(ErrorKind::PlatformUnavailable,
                    "the request was not sent: the daemon is not in the peer table"));
     return;
   }
-  this->parts.transport.Request({ aPeer, peer->info.address, peer->info.port }, aType,
-                                std::move(aBytes), this->settings.requestTimeout,
-                                std::move(aHandler));
+  this->components.transport.Request({ aPeer, peer->info.address, peer->info.port }, aType,
+                                     std::move(aBytes), this->settings.requestTimeout,
+                                     std::move(aHandler));
 }
 
 bool
@@ -360,9 +362,9 @@
 {
   StateExchange exchange;
   if (aRegional) {
-    exchange.states = this->parts.loads.AllStates();
+    exchange.states = this->components.loads.AllStates();
   }
-  exchange.versions = this->parts.states.Notes(aRegional);
+  exchange.versions = this->components.states.Notes(aRegional);
   return exchange;
 }
 
--- a/Lagoonward/Membership/PeerExchange.h
+++ b/Lagoonward/Membership/PeerExchange.h
@@ -22,7 +22,7 @@
 {
 public:
   /// The components that it reads and updates. All outlive it.
-  struct Parts
+  struct Components
   {
     PeerTransport& transport;
     PeerTable& peers;
@@ -34,7 +34,7 @@
   using Found = std::function<void(std::optional<SoftRecord> aRecord)>;
 
   /// @param aOnUpdate  called after received state was applied, so that it is disseminated further
-  PeerExchange(const Clock& aClock, Parts aParts, const MembershipSettings& aSettings,
+  PeerExchange(const Clock& aClock, Components aComponents, const MembershipSettings& aSettings,
                std::function<void()> aOnUpdate);
 
   /// Registers the request handlers with the transport.
@@ -49,7 +49,7 @@
   void CompareDigest(PeerKey aPeer, std::uint64_t aDigest);
 
   /// Handles the announcement of a version that a peer has; fetches the state if it is newer.
-  void TakeNote(PeerKey aPeer, const VersionNote& aNote);
+  void TakeNote(PeerKey aPeer, const VersionNote& aAnnouncement);
 
   /// Versions to announce with the next updates.
   struct Notes
@@ -91,11 +91,11 @@
   [[nodiscard]] StateExchange CollectStates(bool aRegional) const;
 
   const Clock& clock;
-  Parts parts;
+  Components components;
   const MembershipSettings& settings;
   std::function<void()> onUpdate;
   Log log;
-  Notes notes; ///< Announcements to disseminate.
+  Notes announcements; ///< Announcements to disseminate.
   std::unordered_map<std::uint64_t, TimePoint>
     pendingFetches;             ///< States and profiles requested, by key.
   std::uint64_t lastDigest = 0; ///< Of all states and versions.
--- a/Lagoonward/Membership/PeerTransport.cpp
+++ b/Lagoonward/Membership/PeerTransport.cpp
@@ -305,7 +305,7 @@
   }
   const std::uint64_t number = this->nextRequest++;
   const auto timer = this->loop.After(aTimeout, [this, number] { this->OnRequestTimeout(number); });
-  this->pending.emplace(number, Pending{ std::move(aHandler), connection.value(), timer });
+  this->pending.emplace(number, PendingRequest{ std::move(aHandler), connection.value(), timer });
   this->Transmit(connection.value(), Frame{ FrameKind::Request, this->self, number,
                                             static_cast<std::uint16_t>(aType), std::move(aBytes) });
 }
@@ -317,7 +317,7 @@
     case FrameKind::Request:
       this->HandleRequest(aConnection, aFrame);
       break;
-    case FrameKind::Answer:
+    case FrameKind::Response:
     case FrameKind::Failure:
       this->HandleResponse(aFrame);
       break;
@@ -347,7 +347,7 @@
     frame.number = aRequest;
     frame.sender = sender;
     if (aResponse) {
-      frame.kind = FrameKind::Answer;
+      frame.kind = FrameKind::Response;
       frame.bytes = aResponse.value();
     } else {
       frame.kind = FrameKind::Failure;
@@ -361,7 +361,7 @@
 void
 PeerTransport::HandleResponse(const Frame& aFrame)
 {
-  if (aFrame.kind == FrameKind::Answer) {
+  if (aFrame.kind == FrameKind::Response) {
     this->CompleteRequest(aFrame.number, aFrame.bytes);
     return;
   }
--- a/Lagoonward/Membership/PeerTransport.h
+++ b/Lagoonward/Membership/PeerTransport.h
@@ -98,7 +98,7 @@
   [[nodiscard]] const TransportCounters& Counters() const;
 
 private:
-  struct Pending
+  struct PendingRequest
   {
     ResponseHandler handler;
     std::uint64_t connection = 0;
@@ -148,7 +148,7 @@
   std::unordered_map<std::uint16_t, RequestHandler> requestHandlers;
   std::unordered_map<std::uint64_t, Connection> connections; ///< By number.
   std::unordered_map<PeerKey, std::uint64_t> outgoing;       ///< Connection for requests to a peer.
-  std::unordered_map<std::uint64_t, Pending>
+  std::unordered_map<std::uint64_t, PendingRequest>
     pending; ///< Requests without a response yet, by number.
   TransportCounters counters;
   ControlLoop::TimerId expiryTimer = 0;
