--- a/Lagoonward/Membership/PeerExchange.cpp
+++ b/Lagoonward/Membership/PeerExchange.cpp
@@ -6,21 +6,21 @@
 
 namespace {
 
-/// Error of a request whose bytes make no sense.
+/// Error for a request that cannot be decoded.
 Error
-Malformed()
+MalformedRequest()
 {
-  return { ErrorKind::InvalidRequest, "the request cannot be decoded" };
+  return { ErrorKind::InvalidRequest, "the request body cannot be decoded" };
 }
 
 } // namespace
 
-PeerExchange::PeerExchange(const Clock& aClock, Parts aParts, const MembershipSettings& aSettings,
-                           std::function<void()> aNews)
+PeerExchange::PeerExchange(const Clock& aClock, Components aComponents,
+                           const MembershipSettings& aSettings, std::function<void()> aOnUpdate)
   : clock(aClock)
-  , parts(aParts)
+  , components(aComponents)
   , settings(aSettings)
-  , news(std::move(aNews))
+  , onUpdate(std::move(aOnUpdate))
   , log("membership")
   , digestSince(aClock.Now())
   , lastRepair(aClock.Now())
@@ -31,26 +31,26 @@
 PeerExchange::Register()
 {
   using Respond = PeerTransport::Respond;
-  PeerTransport& transport = this->parts.transport;
+  PeerTransport& transport = this->components.transport;
   transport.OnRequest(RequestType::Join,
                       [this](PeerKey, std::string_view aBytes, const Respond& aRespond) {
-                        this->AnswerJoin(aBytes, aRespond);
+                        this->HandleJoin(aBytes, aRespond);
                       });
   transport.OnRequest(RequestType::States,
                       [this](PeerKey aSender, std::string_view aBytes, const Respond& aRespond) {
-                        this->AnswerStates(aSender, aBytes, aRespond);
+                        this->HandleStates(aSender, aBytes, aRespond);
                       });
   transport.OnRequest(RequestType::SharedState,
                       [this](PeerKey, std::string_view aBytes, const Respond& aRespond) {
-                        this->AnswerSharedState(aBytes, aRespond);
+                        this->HandleSharedState(aBytes, aRespond);
                       });
   transport.OnRequest(RequestType::Models,
                       [this](PeerKey, std::string_view aBytes, const Respond& aRespond) {
-                        this->AnswerProfile(aBytes, aRespond);
+                        this->HandleProfile(aBytes, aRespond);
                       });
   transport.OnRequest(RequestType::SoftRecord,
                       [this](PeerKey, std::string_view aBytes, const Respond& aRespond) {
-                        this->AnswerRecord(aBytes, aRespond);
+                        this->HandleRecord(aBytes, aRespond);
                       });
 }
 
@@ -58,15 +58,15 @@
 PeerExchange::JoinIfNeeded()
 {
   const TimePoint now = this->clock.Now();
-  const auto& region = this->parts.peers.Region().Keys();
-  const auto all = this->parts.peers.AllChanges();
+  const auto& region = this->components.peers.Region().Keys();
+  const auto all = this->components.peers.AllChanges();
   if (this->joined || all.size() < 2 ||
       (this->lastJoin && now - *this->lastJoin < this->settings.requestTimeout)) {
     return;
   }
   this->lastJoin = now;
 
-  // A daemon of the region first; another one at each attempt
+  // Tries the daemons of the region first, a different one at each attempt
   const PeerKey self = all.front().key;
   const std::size_t attempt = this->joinAttempts++;
   const auto own = std::find(region.begin(), region.end(), self) - region.begin();
@@ -75,17 +75,17 @@
     hasRegion
       ? region[(static_cast<std::size_t>(own) + 1 + attempt % (region.size() - 1)) % region.size()]
       : all[1 + attempt % (all.size() - 1)].key;
-  this->Ask(peer, RequestType::Join, EncodeMessage(all.front()),
-            [this, peer](const Result<std::string>& aAnswer) {
-              if (!aAnswer) {
-                return;
-              }
-              const auto exchange = DecodeMessage<StateExchange>(aAnswer.value());
-              if (exchange) {
-                this->joined = true;
-                this->TakeExchange(peer, exchange.value());
-              }
-            });
+  this->SendRequest(peer, RequestType::Join, EncodeMessage(all.front()),
+                    [this, peer](const Result<std::string>& aResponse) {
+                      if (!aResponse) {
+                        return;
+                      }
+                      const auto exchange = DecodeMessage<StateExchange>(aResponse.value());
+                      if (exchange) {
+                        this->joined = true;
+                        this->ApplyExchange(peer, exchange.value());
+                      }
+                    });
 }
 
 void
@@ -93,187 +93,192 @@
 {
   const TimePoint now = this->clock.Now();
   const std::uint64_t own = this->DigestFor(aPeer);
-  const std::uint64_t whole =
-    CombineHashes(this->parts.loads.StateDigest(), this->parts.states.Digest(true));
-  if (whole != this->lastDigest) {
-    this->lastDigest = whole;
+  const std::uint64_t fullDigest =
+    CombineHashes(this->components.loads.StateDigest(), this->components.states.Digest(true));
+  if (fullDigest != this->lastDigest) {
+    this->lastDigest = fullDigest;
     this->digestSince = now;
   }
-  // News on its way settles most differences
-  const bool isSettled = now - this->digestSince >= this->settings.repairPatience;
-  if (aDigest != own && isSettled && now - this->lastRepair >= this->settings.repairInterval) {
+  // Updates in flight resolve most differences without a repair
+  const bool isStable = now - this->digestSince >= this->settings.repairPatience;
+  if (aDigest != own && isStable && now - this->lastRepair >= this->settings.repairInterval) {
     this->Repair(aPeer);
   }
 }
 
 void
-PeerExchange::TakeNote(PeerKey aPeer, const VersionNote& aNote)
+PeerExchange::TakeNote(PeerKey aPeer, const VersionNote& aAnnouncement)
 {
   const std::uint64_t fetchKey =
-    CombineHashes(aNote.topic, static_cast<std::uint64_t>(aNote.version));
-  if (!this->parts.states.IsNews(aNote) || !this->BeginFetch(fetchKey)) {
+    CombineHashes(aAnnouncement.topic, static_cast<std::uint64_t>(aAnnouncement.version));
+  if (!this->components.states.IsNews(aAnnouncement) || !this->BeginFetch(fetchKey)) {
     return;
   }
-  this->Ask(aPeer, RequestType::SharedState, EncodeMessage(LookUp{ aNote.topic }),
-            [this, fetchKey](const Result<std::string>& aAnswer) {
-              this->fetching.erase(fetchKey);
-              if (aAnswer) {
-                this->AdoptState(aAnswer.value());
-              }
-            });
+  this->SendRequest(aPeer, RequestType::SharedState,
+                    EncodeMessage(LookupRequest{ aAnnouncement.topic }),
+                    [this, fetchKey](const Result<std::string>& aResponse) {
+                      this->pendingFetches.erase(fetchKey);
+                      if (aResponse) {
+                        this->ApplySharedState(aResponse.value());
+                      }
+                    });
 }
 
 PeerExchange::Notes
 PeerExchange::TakeNotes()
 {
-  return std::exchange(this->notes, {});
+  return std::exchange(this->announcements, {});
 }
 
 void
 PeerExchange::QueueNote(const SharedState& aState)
 {
-  auto& target = aState.IsRegional() ? this->notes.regional : this->notes.global;
+  auto& target = aState.IsRegional() ? this->announcements.regional : this->announcements.global;
   target.push_back({ aState.Topic(), aState.version });
 }
 
 void
 PeerExchange::FetchProfile(PeerKey aPeer, std::uint32_t aProfile)
 {
-  if (aProfile == 0 || this->parts.loads.FindProfile(aProfile) != nullptr ||
+  if (aProfile == 0 || this->components.loads.FindProfile(aProfile) != nullptr ||
       !this->BeginFetch(aProfile)) {
     return;
   }
-  this->Ask(aPeer, RequestType::Models, EncodeMessage(LookUp{ aProfile }),
-            [this, aProfile](const Result<std::string>& aAnswer) {
-              this->fetching.erase(aProfile);
-              if (!aAnswer) {
-                return;
-              }
-              auto profile = DecodeMessage<EndpointProfile>(aAnswer.value());
-              if (profile && profile.value().Hash() == aProfile) {
-                this->parts.loads.AddProfile(std::move(profile.value()));
-              }
-            });
+  this->SendRequest(aPeer, RequestType::Models, EncodeMessage(LookupRequest{ aProfile }),
+                    [this, aProfile](const Result<std::string>& aResponse) {
+                      this->pendingFetches.erase(aProfile);
+                      if (!aResponse) {
+                        return;
+                      }
+                      auto profile = DecodeMessage<EndpointProfile>(aResponse.value());
+                      if (profile && profile.value().Hash() == aProfile) {
+                        this->components.loads.AddProfile(std::move(profile.value()));
+                      }
+                    });
 }
 
 void
 PeerExchange::PlaceRecord(const SoftRecord& aRecord, PeerKey aHolder)
 {
-  this->Ask(aHolder, RequestType::SoftRecord, EncodeMessage(RecordRequest{ true, aRecord }),
-            [](const Result<std::string>&) {});
+  this->SendRequest(aHolder, RequestType::SoftRecord, EncodeMessage(RecordRequest{ true, aRecord }),
+                    [](const Result<std::string>&) {});
 }
 
 void
-PeerExchange::FindRecord(std::uint64_t aKeyHash, std::vector<PeerKey> aHolders, Found aFound)
+PeerExchange::FindRecord(std::uint64_t aKeyHash, std::vector<PeerKey> aHolders, Found aHandler)
 {
-  if (auto own = this->parts.records.Find(aKeyHash)) {
-    aFound(std::move(own));
+  if (auto own = this->components.records.Find(aKeyHash)) {
+    aHandler(std::move(own));
     return;
   }
   if (aHolders.empty()) {
-    aFound(std::nullopt);
+    aHandler(std::nullopt);
     return;
   }
   const PeerKey holder = aHolders.front();
   aHolders.erase(aHolders.begin());
   RecordRequest request;
   request.record.keyHash = aKeyHash;
-  this->Ask(holder, RequestType::SoftRecord, EncodeMessage(request),
-            [this, aKeyHash, rest = std::move(aHolders),
-             found = std::move(aFound)](const Result<std::string>& aAnswer) {
-              if (aAnswer) {
-                const auto record = DecodeMessage<SoftRecord>(aAnswer.value());
-                if (record && record.value().keyHash == aKeyHash) {
-                  found(record.value());
-                  return;
-                }
-              }
-              this->FindRecord(aKeyHash, rest, found);
-            });
+  this->SendRequest(holder, RequestType::SoftRecord, EncodeMessage(request),
+                    [this, aKeyHash, rest = std::move(aHolders),
+                     handler = std::move(aHandler)](const Result<std::string>& aResponse) {
+                      if (aResponse) {
+                        const auto record = DecodeMessage<SoftRecord>(aResponse.value());
+                        if (record && record.value().keyHash == aKeyHash) {
+                          handler(record.value());
+                          return;
+                        }
+                      }
+                      this->FindRecord(aKeyHash, rest, handler);
+                    });
 }
 
 std::uint64_t
 PeerExchange::DigestFor(PeerKey aPeer) const
 {
-  if (!this->parts.peers.IsRegional(aPeer)) {
-    return this->parts.states.Digest(false);
+  if (!this->components.peers.IsRegional(aPeer)) {
+    return this->components.states.Digest(false);
   }
-  return CombineHashes(this->parts.loads.StateDigest(), this->parts.states.Digest(true));
+  return CombineHashes(this->components.loads.StateDigest(), this->components.states.Digest(true));
 }
 
 void
-PeerExchange::AnswerJoin(std::string_view aBytes, const PeerTransport::Respond& aRespond)
+PeerExchange::HandleJoin(std::string_view aBytes, const PeerTransport::Respond& aRespond)
 {
   const auto joiner = DecodeMessage<PeerChange>(aBytes);
   if (!joiner) {
-    aRespond(Malformed());
+    aRespond(MalformedRequest());
     return;
   }
-  this->parts.peers.Apply(joiner.value());
-  const bool isRegional = this->parts.peers.IsRegional(joiner.value().key);
+  this->components.peers.Apply(joiner.value());
+  const bool isRegional = this->components.peers.IsRegional(joiner.value().key);
   StateExchange exchange = this->CollectStates(isRegional);
-  exchange.peers = this->parts.peers.AllChanges();
+  exchange.peers = this->components.peers.AllChanges();
   if (isRegional) {
-    exchange.loads = this->parts.loads.AllLoads();
+    exchange.loads = this->components.loads.AllLoads();
   }
   aRespond(EncodeMessage(exchange));
 }
 
 void
-PeerExchange::AnswerStates(PeerKey aSender, std::string_view aBytes,
+PeerExchange::HandleStates(PeerKey aSender, std::string_view aBytes,
                            const PeerTransport::Respond& aRespond)
 {
   const auto exchange = DecodeMessage<StateExchange>(aBytes);
   if (!exchange) {
-    aRespond(Malformed());
+    aRespond(MalformedRequest());
     return;
   }
-  this->TakeExchange(aSender, exchange.value());
-  aRespond(EncodeMessage(this->CollectStates(this->parts.peers.IsRegional(aSender))));
+  this->ApplyExchange(aSender, exchange.value());
+  aRespond(EncodeMessage(this->CollectStates(this->components.peers.IsRegional(aSender))));
 }
 
 void
-PeerExchange::AnswerSharedState(std::string_view aBytes, const PeerTransport::Respond& aRespond)
+PeerExchange::HandleSharedState(std::string_view aBytes, const PeerTransport::Respond& aRespond)
 {
-  const auto wanted = DecodeMessage<LookUp>(aBytes);
-  const SharedState* const state = wanted ? this->parts.states.Find(wanted.value().key) : nullptr;
+  const auto lookup = DecodeMessage<LookupRequest>(aBytes);
+  const SharedState* const state =
+    lookup ? this->components.states.Find(lookup.value().key) : nullptr;
   if (state == nullptr) {
-    aRespond(Error(ErrorKind::InvalidRequest, "no such shared state"));
+    aRespond(
+      Error(ErrorKind::InvalidRequest, "no shared state with the requested topic is known here"));
     return;
   }
   aRespond(EncodeMessage(*state));
 }
 
 void
-PeerExchange::AnswerProfile(std::string_view aBytes, const PeerTransport::Respond& aRespond)
+PeerExchange::HandleProfile(std::string_view aBytes, const PeerTransport::Respond& aRespond)
 {
-  const auto wanted = DecodeMessage<LookUp>(aBytes);
+  const auto lookup = DecodeMessage<LookupRequest>(aBytes);
   const EndpointProfile* const profile =
-    wanted ? this->parts.loads.FindProfile(static_cast<std::uint32_t>(wanted.value().key))
+    lookup ? this->components.loads.FindProfile(static_cast<std::uint32_t>(lookup.value().key))
            : nullptr;
   if (profile == nullptr) {
-    aRespond(Error(ErrorKind::InvalidRequest, "no such profile"));
+    aRespond(Error(ErrorKind::InvalidRequest,
+                   "no endpoint profile with the requested hash is known here"));
     return;
   }
   aRespond(EncodeMessage(*profile));
 }
 
 void
-PeerExchange::AnswerRecord(std::string_view aBytes, const PeerTransport::Respond& aRespond)
+PeerExchange::HandleRecord(std::string_view aBytes, const PeerTransport::Respond& aRespond)
 {
   const auto request = DecodeMessage<RecordRequest>(aBytes);
   if (!request) {
-    aRespond(Malformed());
+    aRespond(MalformedRequest());
     return;
   }
   if (request.value().isPlacement) {
-    this->parts.records.Put(request.value().record);
+    this->components.records.Put(request.value().record);
     aRespond(std::string());
     return;
   }
-  const auto record = this->parts.records.Find(request.value().record.keyHash);
+  const auto record = this->components.records.Find(request.value().record.keyHash);
   if (!record) {
-    aRespond(Error(ErrorKind::InvalidRequest, "no such record"));
+    aRespond(
+      Error(ErrorKind::InvalidRequest, "no soft record with the requested key is held here"));
     return;
   }
   aRespond(EncodeMessage(*record));
@@ -283,71 +288,73 @@
 PeerExchange::Repair(PeerKey aPeer)
 {
   this->lastRepair = this->clock.Now();
-  const bool isRegional = this->parts.peers.IsRegional(aPeer);
-  this->Ask(aPeer, RequestType::States, EncodeMessage(this->CollectStates(isRegional)),
-            [this, aPeer](const Result<std::string>& aAnswer) {
-              const auto exchange = aAnswer ? DecodeMessage<StateExchange>(aAnswer.value())
-                                            : Result<StateExchange>(aAnswer.error());
-              if (exchange) {
-                this->TakeExchange(aPeer, exchange.value());
-              }
-            });
+  const bool isRegional = this->components.peers.IsRegional(aPeer);
+  this->SendRequest(aPeer, RequestType::States, EncodeMessage(this->CollectStates(isRegional)),
+                    [this, aPeer](const Result<std::string>& aResponse) {
+                      const auto exchange = aResponse
+                                              ? DecodeMessage<StateExchange>(aResponse.value())
+                                              : Result<StateExchange>(aResponse.error());
+                      if (exchange) {
+                        this->ApplyExchange(aPeer, exchange.value());
+                      }
+                    });
 }
 
 void
-PeerExchange::TakeExchange(PeerKey aPeer, const StateExchange& aExchange)
+PeerExchange::ApplyExchange(PeerKey aPeer, const StateExchange& aExchange)
 {
   for (const PeerChange& change : aExchange.peers) {
-    this->parts.peers.Apply(change);
+    this->components.peers.Apply(change);
   }
-  for (const StateFact& fact : aExchange.states) {
-    this->parts.loads.Merge(fact);
+  for (const StateFact& update : aExchange.states) {
+    this->components.loads.Merge(update);
   }
-  for (const LoadFact& fact : aExchange.loads) {
-    this->parts.loads.Merge(fact);
-    this->FetchProfile(aPeer, fact.profile);
+  for (const LoadFact& update : aExchange.loads) {
+    this->components.loads.Merge(update);
+    this->FetchProfile(aPeer, update.profile);
   }
-  for (const VersionNote& note : aExchange.versions) {
-    this->TakeNote(aPeer, note);
+  for (const VersionNote& announcement : aExchange.versions) {
+    this->TakeNote(aPeer, announcement);
   }
-  this->news();
+  this->onUpdate();
 }
 
 void
-PeerExchange::AdoptState(std::string_view aBytes)
+PeerExchange::ApplySharedState(std::string_view aBytes)
 {
   auto state = DecodeMessage<SharedState>(aBytes);
   if (!state) {
     return;
   }
-  if (this->parts.states.Adopt(state.value())) {
+  if (this->components.states.Adopt(state.value())) {
     this->QueueNote(state.value());
-    this->news();
+    this->onUpdate();
   }
 }
 
 void
-PeerExchange::Ask(PeerKey aPeer, RequestType aType, std::string aBytes,
-                  PeerTransport::AnswerHandler aHandler)
+PeerExchange::SendRequest(PeerKey aPeer, RequestType aType, std::string aBytes,
+                          PeerTransport::ResponseHandler aHandler)
 {
-  const Peer* const peer = this->parts.peers.Find(aPeer);
+  const Peer* const peer = this->components.peers.Find(aPeer);
   if (peer == nullptr) {
-    aHandler(Error(ErrorKind::PlatformUnavailable, "that daemon is not known"));
+    aHandler(Error(ErrorKind::PlatformUnavailable,
+                   "the request was not sent: the daemon is not in the peer table"));
     return;
   }
-  this->parts.transport.Request({ aPeer, peer->info.address, peer->info.port }, aType,
-                                std::move(aBytes), this->settings.requestTimeout,
-                                std::move(aHandler));
+  this->components.transport.Request({ aPeer, peer->info.address, peer->info.port }, aType,
+                                     std::move(aBytes), this->settings.requestTimeout,
+                                     std::move(aHandler));
 }
 
 bool
 PeerExchange::BeginFetch(std::uint64_t aKey)
 {
   const TimePoint now = this->clock.Now();
-  std::erase_if(this->fetching, [&](const auto& aItem) {
+  std::erase_if(this->pendingFetches, [&](const auto& aItem) {
     return now - aItem.second > 2 * this->settings.requestTimeout;
   });
-  return this->fetching.emplace(aKey, now).second;
+  return this->pendingFetches.emplace(aKey, now).second;
 }
 
 StateExchange
@@ -355,9 +362,9 @@
 {
   StateExchange exchange;
   if (aRegional) {
-    exchange.states = this->parts.loads.AllStates();
+    exchange.states = this->components.loads.AllStates();
   }
-  exchange.versions = this->parts.states.Notes(aRegional);
+  exchange.versions = this->components.states.Notes(aRegional);
   return exchange;
 }
 
