--- a/Lagoonward/Core/Clock.h
+++ b/Lagoonward/Core/Clock.h
@@ -10,8 +10,8 @@
 using Microseconds = std::chrono::microseconds;
 using Seconds = std::chrono::seconds;
 
-/// Source of time. Every module takes it by reference, so that tests and benches can use
-/// a VirtualClock instead of the machine's.
+/// Source of time. Every module takes it by reference, so that tests and benchmarks can pass a VirtualClock
+/// instead of the system clock.
 class Clock
 {
 public:
@@ -20,14 +20,14 @@
   /// Monotonic time that does not advance while the machine is suspended.
   [[nodiscard]] virtual TimePoint Now() const = 0;
 
-  /// Calendar time, for what is exchanged with other hosts. May jump.
+  /// Calendar time, for timestamps that are exchanged with other hosts. May jump.
   [[nodiscard]] virtual WallTime WallNow() const = 0;
 
-  /// Monotonic time that also counts suspension. Leases are checked against this one.
+  /// Monotonic time that also advances during suspension. Lease expiry is checked against this clock.
   [[nodiscard]] virtual TimePoint BootNow() const = 0;
 };
 
-/// A span in seconds, for what is reckoned in fractions of them.
+/// A duration in seconds, including fractions of a second.
 [[nodiscard]] inline double
 ToSeconds(TimePoint::duration aSpan)
 {
@@ -42,7 +42,7 @@
 [[nodiscard]] WallTime
 FromUnixMilliseconds(std::int64_t aMilliseconds);
 
-/// A part or a multiple of a span, in whole milliseconds.
+/// A duration multiplied by a factor, truncated to whole milliseconds.
 [[nodiscard]] inline Milliseconds
 Times(Milliseconds aSpan, double aFactor)
 {
--- a/Lagoonward/Core/Error.h
+++ b/Lagoonward/Core/Error.h
@@ -8,22 +8,23 @@
 
 namespace lagoonward {
 
-/// One error value: its kind, what happened, and what is known about the request having run.
+/// Error value: the kind, a message, and whether the request may have run on an endpoint.
 struct Error
 {
-  /// An internal error without a message; Result<> needs a default.
+  /// An internal error without a message; Result<> requires a default constructor.
   Error();
 
-  /// Takes `ran` from the kind's rule.
+  /// Sets `ran` to the default of the kind's rule.
   Error(ErrorKind aKind, std::string aMessage);
 
-  /// States `ran` explicitly, for places that know better than the rule.
+  /// Sets `ran` explicitly, for call sites that know more than the rule's default.
   Error(ErrorKind aKind, std::string aMessage, Ran aRan);
 
-  /// Sets when the caller should come back. Only sent for kinds where waiting helps.
+  /// Returns a copy with the delay after which the caller may retry. Only sent for kinds whose rule has
+  /// `sendsRetryAfter`.
   [[nodiscard]] Error WithRetryAfter(Milliseconds aDelay) const;
 
-  /// The JSON body that callers get: `{"error":{"kind":…,"message":…,"ran":…}}`.
+  /// The JSON body of the error response: `{"error":{"kind":…,"message":…,"ran":…}}`.
   [[nodiscard]] std::string ToJson() const;
 
   ErrorKind kind;
--- a/Lagoonward/Core/ErrorKind.h
+++ b/Lagoonward/Core/ErrorKind.h
@@ -5,16 +5,16 @@
 
 namespace lagoonward {
 
-/// What a caller may conclude about a request that was answered with an error.
+/// Whether a request that was answered with an error ran on an endpoint.
 enum class Ran
 {
-  No,      ///< Proven: no endpoint began the request. A promise to the caller.
-  Unknown, ///< It may have run, wholly or in part.
-  Yes,     ///< It ran; only its answer is missing.
+  No,      ///< Proven: no endpoint began the request. Guaranteed to the caller.
+  Unknown, ///< It may have run, completely or in part.
+  Yes,     ///< It ran; only its answer is not available.
 };
 
-/// The closed list of error kinds. Every error that leaves a daemon is one of these;
-/// GetErrorRule() gives the answer that belongs to each.
+/// All error kinds. Every error that a daemon returns has one of these kinds; GetErrorRule() gives the HTTP
+/// response for each.
 enum class ErrorKind
 {
   InvalidRequest,
@@ -53,18 +53,18 @@
   Internal,
 };
 
-/// How one kind of error is answered.
+/// HTTP response and defaults for one kind of error.
 struct ErrorRule
 {
   ErrorKind kind;
   std::string_view name; ///< The `kind` field of the answer, for example "unknown_model".
   int httpStatus;
-  Ran ran;               ///< What it says unless the place that raises it knows better.
-  bool waitingHelps;     ///< Whether the answer carries `Retry-After`.
-  std::string_view help; ///< One sentence for operators and callers: what it means, what to do.
+  Ran ran;               ///< Default; the call site may override it.
+  bool sendsRetryAfter;  ///< Whether the answer carries `Retry-After`.
+  std::string_view help; ///< One sentence for operators and callers: meaning and remedy.
 };
 
-/// The rule of one kind.
+/// Returns the rule of one kind.
 [[nodiscard]] const ErrorRule&
 GetErrorRule(ErrorKind aKind);
 
--- a/Lagoonward/Core/Hash.h
+++ b/Lagoonward/Core/Hash.h
@@ -5,7 +5,7 @@
 
 namespace lagoonward {
 
-/// 64-bit hash (XXH3) of the bytes. Stable across daemons and releases.
+/// 64-bit hash (XXH3) of the bytes. The value is the same on all daemons and in all releases.
 [[nodiscard]] std::uint64_t
 HashBytes(std::string_view aBytes, std::uint64_t aSeed = 0);
 
--- a/Lagoonward/Core/Kernel.cpp
+++ b/Lagoonward/Core/Kernel.cpp
@@ -7,13 +7,13 @@
 Result<void>
 Kernel::StartAll()
 {
-  while (this->running < this->services.size()) {
-    auto started = this->services[this->running]->Start();
+  while (this->startedCount < this->services.size()) {
+    auto started = this->services[this->startedCount]->Start();
     if (!started) {
       this->StopAll();
       return started.error();
     }
-    ++this->running;
+    ++this->startedCount;
   }
   return boost::outcome_v2::success();
 }
@@ -21,7 +21,7 @@
 void
 Kernel::DrainAll()
 {
-  for (std::size_t index = this->running; index > 0; --index) {
+  for (std::size_t index = this->startedCount; index > 0; --index) {
     this->services[index - 1]->Drain();
   }
 }
@@ -29,9 +29,9 @@
 void
 Kernel::StopAll()
 {
-  while (this->running > 0) {
-    --this->running;
-    this->services[this->running]->Stop();
+  while (this->startedCount > 0) {
+    --this->startedCount;
+    this->services[this->startedCount]->Stop();
   }
 }
 
--- a/Lagoonward/Core/Kernel.h
+++ b/Lagoonward/Core/Kernel.h
@@ -7,12 +7,12 @@
 
 namespace lagoonward {
 
-/// Owns the services of one daemon and lets them find each other by name.
+/// Owns the services of one daemon and looks them up by name.
 /// Registration happens before StartAll(), on one thread; Find() is then safe from any thread.
 class Kernel
 {
 public:
-  /// Adds a service. Its name must not be taken.
+  /// Adds a service. Its name must be unique in the kernel.
   /// @return the service, still owned by the kernel
   template<typename ServiceType>
   ServiceType& Add(std::unique_ptr<ServiceType> aService)
@@ -29,7 +29,8 @@
     return dynamic_cast<ServiceType*>(this->FindAny(aName));
   }
 
-  /// Starts all services in order. On a failure those already started are stopped again.
+  /// Starts all services in the order of registration. If one fails to start, those already started are
+  /// stopped and its error is returned.
   [[nodiscard]] Result<void> StartAll();
 
   /// Drains all running services, the last registered first.
@@ -43,7 +44,7 @@
   [[nodiscard]] Service* FindAny(std::string_view aName) const;
 
   std::vector<std::unique_ptr<Service>> services;
-  std::size_t running = 0; ///< How many of `services`, from the front, have been started.
+  std::size_t startedCount = 0; ///< Number of `services`, from the front, that have been started.
 };
 
 } // namespace lagoonward
--- a/Lagoonward/Core/Log.cpp
+++ b/Lagoonward/Core/Log.cpp
@@ -23,11 +23,11 @@
 
 namespace {
 
-/// Lowest level that is logged; one past Error while logging has not been started.
+/// Lowest level that is logged; one above Error until StartLogging() is called, so that nothing is logged.
 std::atomic<int> gLowestLevel{ static_cast<int>(LogLevel::Error) + 1 };
 
 log4cxx::LevelPtr
-ToLibraryLevel(LogLevel aLevel)
+ToLog4cxxLevel(LogLevel aLevel)
 {
   switch (aLevel) {
     case LogLevel::Debug:
@@ -49,12 +49,12 @@
                      [](char aByte) { return static_cast<unsigned char>(aByte) < 0x80; });
 }
 
-/// Writes to one of the process's standard streams. The library converts each character to the locale's;
-/// ASCII, which nearly all lines are, is the same in every locale that it knows and goes out as it is.
-class StandardOutput final : public log4cxx::helpers::SystemErrWriter
+/// Writes to one of the process's standard streams. log4cxx converts each character to the locale's encoding.
+/// ASCII is the same in every encoding that it supports, so ASCII lines, which are nearly all, skip the conversion.
+class StandardStreamWriter final : public log4cxx::helpers::SystemErrWriter
 {
 public:
-  explicit StandardOutput(std::FILE* aStream)
+  explicit StandardStreamWriter(std::FILE* aStream)
     : stream(aStream)
   {
   }
@@ -77,50 +77,52 @@
   std::FILE* stream;
 };
 
-/// The library's logger of a prefix. Looking one up takes a lock and copies the name, so each thread
-/// keeps those it has used; prefixes are string literals, so their addresses tell them apart.
+/// Returns the log4cxx logger of a prefix. A lookup in log4cxx takes a lock and copies the name, so each thread
+/// caches the loggers that it has used. Prefixes are string literals, so the cache compares their addresses.
 const log4cxx::LoggerPtr&
 FindLogger(std::string_view aPrefix)
 {
-  thread_local std::vector<std::pair<const char*, log4cxx::LoggerPtr>> known;
-  const auto found = std::find_if(
-    known.begin(), known.end(), [&](const auto& aEntry) { return aEntry.first == aPrefix.data(); });
-  if (found != known.end()) {
+  thread_local std::vector<std::pair<const char*, log4cxx::LoggerPtr>> loggers;
+  const auto found = std::find_if(loggers.begin(), loggers.end(), [&](const auto& aEntry) {
+    return aEntry.first == aPrefix.data();
+  });
+  if (found != loggers.end()) {
     return found->second;
   }
-  known.emplace_back(aPrefix.data(), log4cxx::Logger::getLogger(std::string(aPrefix)));
-  return known.back().second;
+  loggers.emplace_back(aPrefix.data(), log4cxx::Logger::getLogger(std::string(aPrefix)));
+  return loggers.back().second;
 }
 
-/// Lines a second that are written; as many may come at once. Keeps logging below a tenth of a small
-/// host's processor: a line costs about 20 microseconds.
-constexpr std::int64_t kLinesPerSecond = 1000;
+/// Maximum number of lines written per second; all of them may come in one burst. A line costs about
+/// 20 microseconds, so logging stays below a tenth of the processor time of a small host.
+constexpr std::int64_t kMaximumLinesPerSecond = 1000;
 constexpr std::int64_t kMillisecondsPerSecond = 1000;
 
-/// Lines that wait for whoever reads standard output; more are dropped.
-constexpr int kQueuedLines = 4096;
+/// Capacity of the queue of lines to standard output. Lines are dropped while it is full.
+constexpr int kQueueCapacity = 4096;
 
 std::atomic<bool> gIsJson{ false };
-std::atomic<std::int64_t> gBudgetSecond{ 0 };
+std::atomic<std::int64_t> gLineBudgetSecond{ 0 };
 std::atomic<std::int64_t> gLinesThisSecond{ 0 };
-std::atomic<std::uint64_t> gDropped{ 0 };
+std::atomic<std::uint64_t> gDroppedLines{ 0 };
 
-/// Whether one more line fits the budget. Errors always do.
+/// Consumes one line of the budget of lines per second. Errors are always written.
+/// @return false if the line must be dropped
 bool
-TakeLine(LogLevel aLevel, std::int64_t aSecond)
+TryConsumeLine(LogLevel aLevel, std::int64_t aSecond)
 {
-  if (gBudgetSecond.exchange(aSecond) != aSecond) {
+  if (gLineBudgetSecond.exchange(aSecond) != aSecond) {
     gLinesThisSecond = 0;
   }
-  if (++gLinesThisSecond <= kLinesPerSecond || aLevel == LogLevel::Error) {
+  if (++gLinesThisSecond <= kMaximumLinesPerSecond || aLevel == LogLevel::Error) {
     return true;
   }
-  ++gDropped;
+  ++gDroppedLines;
   return false;
 }
 
 std::string_view
-NameOf(LogLevel aLevel)
+LevelName(LogLevel aLevel)
 {
   switch (aLevel) {
     case LogLevel::Debug:
@@ -152,13 +154,13 @@
   }
 }
 
-/// The beginning of a JSON line: when, how grave, which part.
+/// Begins a JSON line with the time, the level and the component.
 std::string
-BeginJson(LogLevel aLevel, std::string_view aPart, std::int64_t aMilliseconds)
+BeginJson(LogLevel aLevel, std::string_view aComponent, std::int64_t aMilliseconds)
 {
   std::string line =
-    fmt::format(R"({{"time":{},"level":"{}","part":)", aMilliseconds, NameOf(aLevel));
-  AppendJsonText(line, aPart);
+    fmt::format(R"({{"time":{},"level":"{}","part":)", aMilliseconds, LevelName(aLevel));
+  AppendJsonText(line, aComponent);
   return line;
 }
 
@@ -179,9 +181,9 @@
     auto layout = std::make_shared<log4cxx::PatternLayout>("%m%n");
     auto console =
       std::make_shared<log4cxx::ConsoleAppender>(layout, log4cxx::ConsoleAppender::getSystemOut());
-    console->setWriter(std::make_shared<StandardOutput>(stdout));
+    console->setWriter(std::make_shared<StandardStreamWriter>(stdout));
     auto queue = std::make_shared<log4cxx::AsyncAppender>();
-    queue->setBufferSize(kQueuedLines);
+    queue->setBufferSize(kQueueCapacity);
     queue->setBlocking(false);
     queue->addAppender(console);
     log4cxx::BasicConfigurator::configure(queue);
@@ -189,17 +191,17 @@
     auto layout = std::make_shared<log4cxx::PatternLayout>("%d{ISO8601} %-5p %c: %m%n");
     auto console =
       std::make_shared<log4cxx::ConsoleAppender>(layout, log4cxx::ConsoleAppender::getSystemErr());
-    console->setWriter(std::make_shared<StandardOutput>(stderr));
+    console->setWriter(std::make_shared<StandardStreamWriter>(stderr));
     log4cxx::BasicConfigurator::configure(console);
   }
-  log4cxx::Logger::getRootLogger()->setLevel(ToLibraryLevel(aLevel));
+  log4cxx::Logger::getRootLogger()->setLevel(ToLog4cxxLevel(aLevel));
   gLowestLevel = static_cast<int>(aLevel);
 }
 
 std::uint64_t
 DroppedLogLines()
 {
-  return gDropped;
+  return gDroppedLines;
 }
 
 LogField::LogField(std::string_view aName, std::string_view aValue)
@@ -250,7 +252,7 @@
     return;
   }
   const std::int64_t now = NowMilliseconds();
-  if (!TakeLine(aLevel, now / kMillisecondsPerSecond)) {
+  if (!TryConsumeLine(aLevel, now / kMillisecondsPerSecond)) {
     return;
   }
   std::string line = BeginJson(aLevel, this->prefix, now);
@@ -280,11 +282,11 @@
 Log::Write(LogLevel aLevel, const std::string& aLine) const
 {
   const log4cxx::LoggerPtr& logger = FindLogger(this->prefix);
-  // The library converts from the locale's characters, which leaves ASCII as it is
+  // forcedLog() converts from the locale's encoding; ASCII needs no conversion
   if (IsAscii(aLine)) {
-    logger->forcedLogLS(ToLibraryLevel(aLevel), aLine, log4cxx::spi::LocationInfo());
+    logger->forcedLogLS(ToLog4cxxLevel(aLevel), aLine, log4cxx::spi::LocationInfo());
   } else {
-    logger->forcedLog(ToLibraryLevel(aLevel), aLine);
+    logger->forcedLog(ToLog4cxxLevel(aLevel), aLine);
   }
 }
 
--- a/Lagoonward/Core/Log.h
+++ b/Lagoonward/Core/Log.h
@@ -12,7 +12,7 @@
 
 namespace lagoonward {
 
-/// How much is logged.
+/// Severity of a log line.
 enum class LogLevel
 {
   Debug,
@@ -21,23 +21,22 @@
   Error,
 };
 
-/// How log lines look and where they go.
+/// Format and destination of log lines.
 enum class LogFormat
 {
   Text, ///< Sentences, to standard error.
-  Json, ///< One JSON object a line, to standard output, without ever waiting for whoever reads it.
+  Json, ///< One JSON object per line, to standard output. Never blocks on a slow reader of standard output.
 };
 
-/// Sends all log lines out from here on, those below aLevel excepted.
-/// Called once by each program; without it nothing is printed.
+/// Enables logging of all lines at aLevel and above. Called once by each program; nothing is printed before.
 void
 StartLogging(LogLevel aLevel, LogFormat aFormat = LogFormat::Text);
 
-/// Lines that were not written since the start, as more came than the budget of lines a second allows.
+/// Number of lines dropped since the start because the limit of lines per second was exceeded.
 [[nodiscard]] std::uint64_t
 DroppedLogLines();
 
-/// One named value of an event. Views must outlive the call only.
+/// One named value of an event. Views need to stay valid only during the call of Log::Event().
 struct LogField
 {
   std::string_view name;
@@ -59,13 +58,13 @@
   }
 };
 
-/// Log of one part of the daemon. Lines are short sentences behind the part's fixed prefix:
+/// Logger of one component of the daemon. A text line is a short sentence after the component's fixed prefix:
 /// `2026-11-24T06:00:00.123Z INFO  routing: request r-1 goes to endpoint e-4.`
-/// Copyable, cheap, safe from any thread.
+/// Cheap to copy. Thread-safe.
 class Log
 {
 public:
-  /// @param aPrefix  fixed name of the part, a string literal
+  /// @param aPrefix  fixed name of the component; must be a string literal, since its address is the cache key
   explicit Log(std::string_view aPrefix);
 
   template<typename... Arguments>
@@ -92,7 +91,7 @@
     this->Format(LogLevel::Error, aFormat, fmt::make_format_args(aArguments...));
   }
 
-  /// Writes down one decision or change: a fixed name and the values that led to it.
+  /// Logs one decision or state change: a fixed event name and the values it was based on.
   void Event(std::string_view aName, std::initializer_list<LogField> aFields) const;
   void Event(LogLevel aLevel, std::string_view aName,
              std::initializer_list<LogField> aFields) const;
--- a/Lagoonward/Core/SystemClock.cpp
+++ b/Lagoonward/Core/SystemClock.cpp
@@ -19,7 +19,7 @@
 TimePoint
 SystemClock::BootNow() const
 {
-  // steady_clock stops during suspension on Linux; CLOCK_BOOTTIME does not
+  // On Linux, steady_clock does not advance during suspension; CLOCK_BOOTTIME does
   timespec now{};
   clock_gettime(CLOCK_BOOTTIME, &now);
   return TimePoint(Seconds(now.tv_sec) + std::chrono::nanoseconds(now.tv_nsec));
--- a/Lagoonward/Core/SystemClock.h
+++ b/Lagoonward/Core/SystemClock.h
@@ -4,7 +4,7 @@
 
 namespace lagoonward {
 
-/// The machine's clocks.
+/// The clocks of the operating system. Thread-safe.
 class SystemClock final : public Clock
 {
 public:
--- a/Lagoonward/Core/VirtualClock.h
+++ b/Lagoonward/Core/VirtualClock.h
@@ -4,21 +4,22 @@
 
 namespace lagoonward {
 
-/// A clock that moves only when told to. Used by tests, benches and fuzzers. Not thread-safe.
+/// A clock that advances only through Advance() and Suspend(). Used by tests, benchmarks and fuzzers.
+/// Not thread-safe.
 class VirtualClock final : public Clock
 {
 public:
-  /// Starts one hour after each clock's epoch, so that subtracting small spans stays positive.
+  /// Starts one hour after each clock's epoch, so that subtracting a short duration from a time stays positive.
   VirtualClock();
 
   [[nodiscard]] TimePoint Now() const override;
   [[nodiscard]] WallTime WallNow() const override;
   [[nodiscard]] TimePoint BootNow() const override;
 
-  /// Moves all three clocks forward.
+  /// Advances all three clocks.
   void Advance(std::chrono::nanoseconds aSpan);
 
-  /// Moves only the clock that counts suspension, as a suspended machine would.
+  /// Advances only the clocks that count suspension (WallNow() and BootNow()), as on a suspended machine.
   void Suspend(std::chrono::nanoseconds aSpan);
 
 private:
--- a/Lagoonward/Frontend/AdminApi.cpp
+++ b/Lagoonward/Frontend/AdminApi.cpp
@@ -126,8 +126,9 @@
 {
   const std::vector<Decision> decisions = this->runs.Journal().Find(aRequestId);
   if (decisions.empty()) {
-    RespondWithError(aExchange,
-                     Error(ErrorKind::UnknownPath, "This daemon remembers no request of that id."));
+    RespondWithError(
+      aExchange,
+      Error(ErrorKind::UnknownPath, "This daemon has no decisions recorded for this request id."));
     return;
   }
   Json list = Json::array();
--- a/Lagoonward/Frontend/AdminApi.h
+++ b/Lagoonward/Frontend/AdminApi.h
@@ -21,9 +21,9 @@
 public:
   static constexpr std::string_view kName = "admin";
 
-  /// @param aReadiness  why the daemon should get no requests, or nothing; any thread
-  /// @param aStatus  the JSON text of `/status`; called on the server's thread
-  /// @param aDrain   asks the daemon to leave; returns at once
+  /// @param aReadiness  returns the reason why the daemon should get no requests, or nothing; any thread
+  /// @param aStatus  returns the JSON text of `/status`; called on the server's thread
+  /// @param aDrain   starts draining the daemon; returns immediately
   AdminApi(HttpServerSettings aServer, RunService& aRuns,
            std::function<std::optional<Error>()> aReadiness, std::function<std::string()> aStatus,
            std::function<void()> aDrain);
@@ -32,10 +32,10 @@
   [[nodiscard]] Result<void> Start() override;
   void Stop() override;
 
-  /// Adds metrics to `/metrics`. Before Start().
+  /// Adds metrics to `/metrics`. Must be called before Start().
   void AddMetrics(std::shared_ptr<prometheus::Collectable> aMetrics);
 
-  /// The port it listens on.
+  /// The port that the server listens on.
   [[nodiscard]] std::uint16_t Port() const;
 
 private:
--- a/Lagoonward/Frontend/AnswerWriters.cpp
+++ b/Lagoonward/Frontend/AnswerWriters.cpp
@@ -14,7 +14,7 @@
 constexpr int kStatusOk = 200;
 constexpr std::string_view kRequestIdHeader = "Lagoonward-Request-Id";
 
-/// JSON text; bytes that are no UTF-8 become replacement characters.
+/// Serializes to JSON; bytes that are not valid UTF-8 become replacement characters.
 std::string
 Dump(const Json& aValue)
 {
@@ -22,12 +22,12 @@
 }
 
 std::string
-ObjectId(const AnswerShape& aShape, const Answer& aAnswer)
+ObjectId(const AnswerFormat& aFormat, const Answer& aAnswer)
 {
-  return (aShape.chat ? "chatcmpl-" : "cmpl-") + aAnswer.RequestId();
+  return (aFormat.chat ? "chatcmpl-" : "cmpl-") + aAnswer.RequestId();
 }
 
-/// Headers that every answer to a caller carries.
+/// Makes the headers that every response to a caller has.
 std::vector<HttpHeader>
 MakeHeaders(std::string_view aContentType, std::string_view aRequestId)
 {
@@ -45,7 +45,7 @@
 {
   const ErrorRule& rule = GetErrorRule(aError.kind);
   std::vector<HttpHeader> headers = MakeHeaders("application/json", aRequestId);
-  if (rule.waitingHelps) {
+  if (rule.sendsRetryAfter) {
     const auto delay = aError.retryAfter.value_or(Milliseconds(1000));
     headers.emplace_back("Retry-After", std::to_string(std::max<std::int64_t>(
                                           1, std::chrono::ceil<Seconds>(delay).count())));
@@ -53,9 +53,9 @@
   aExchange.Respond(rule.httpStatus, std::move(headers), aError.ToJson());
 }
 
-JsonAnswerWriter::JsonAnswerWriter(HttpExchangePtr aExchange, const AnswerShape& aShape)
+JsonAnswerWriter::JsonAnswerWriter(HttpExchangePtr aExchange, const AnswerFormat& aFormat)
   : exchange(std::move(aExchange))
-  , shape(aShape)
+  , format(aFormat)
 {
 }
 
@@ -72,13 +72,13 @@
   Json choice{ { "index", 0 },
                { "finish_reason", aAnswer.FinishReason() },
                { "logprobs", nullptr } };
-  if (this->shape.chat) {
+  if (this->format.chat) {
     choice["message"] = { { "role", "assistant" }, { "content", aAnswer.Text() } };
   } else {
     choice["text"] = aAnswer.Text();
   }
-  const Json body{ { "id", ObjectId(this->shape, aAnswer) },
-                   { "object", this->shape.chat ? "chat.completion" : "text_completion" },
+  const Json body{ { "id", ObjectId(this->format, aAnswer) },
+                   { "object", this->format.chat ? "chat.completion" : "text_completion" },
                    { "created", aAnswer.Created() },
                    { "model", aAnswer.Model() },
                    { "choices", Json::array({ std::move(choice) }) },
@@ -93,27 +93,27 @@
   return this->exchange->IsCallerGone();
 }
 
-EventAnswerWriter::EventAnswerWriter(HttpExchangePtr aExchange, const AnswerShape& aShape)
+EventAnswerWriter::EventAnswerWriter(HttpExchangePtr aExchange, const AnswerFormat& aFormat)
   : exchange(std::move(aExchange))
-  , shape(aShape)
-  , nextToken(aShape.fromToken.value_or(0))
+  , format(aFormat)
+  , nextToken(aFormat.fromToken.value_or(0))
 {
 }
 
 void
 EventAnswerWriter::OnChanged(const Answer& aAnswer)
 {
-  if (this->gone) {
+  if (this->disconnected) {
     return;
   }
-  if (!this->begun && aAnswer.Failure().has_value() && aAnswer.TokenCount() == 0) {
+  if (!this->streamStarted && aAnswer.Failure().has_value() && aAnswer.TokenCount() == 0) {
     RespondWithError(*this->exchange, *aAnswer.Failure(), aAnswer.RequestId());
     return;
   }
   if (aAnswer.TokenCount() <= this->nextToken && !aAnswer.Ended()) {
     return;
   }
-  if (!this->begun) {
+  if (!this->streamStarted) {
     this->BeginStream(aAnswer);
   }
   this->buffer.clear();
@@ -123,8 +123,8 @@
   if (aAnswer.Ended()) {
     this->WriteEnd(aAnswer);
   }
-  this->gone = !this->exchange->Write(this->buffer);
-  if (aAnswer.Ended() || this->gone) {
+  this->disconnected = !this->exchange->Write(this->buffer);
+  if (aAnswer.Ended() || this->disconnected) {
     this->exchange->EndStream();
   }
 }
@@ -132,33 +132,33 @@
 bool
 EventAnswerWriter::IsGone()
 {
-  return this->gone || this->exchange->IsCallerGone();
+  return this->disconnected || this->exchange->IsCallerGone();
 }
 
 void
 EventAnswerWriter::BeginStream(const Answer& aAnswer)
 {
-  this->begun = true;
+  this->streamStarted = true;
   auto headers = MakeHeaders("text/event-stream", aAnswer.RequestId());
   headers.emplace_back("Cache-Control", "no-cache");
   this->exchange->BeginStream(kStatusOk, std::move(headers));
-  // Only the text differs from token to token
-  this->eventHead =
+  // The events of all tokens differ only in id and text, so the rest is formatted once
+  this->eventPrefix =
     fmt::format(R"({{"id":{},"object":"{}","created":{},"model":{},"choices":[{{"index":0,{})",
-                Dump(ObjectId(this->shape, aAnswer)),
-                this->shape.chat ? "chat.completion.chunk" : "text_completion", aAnswer.Created(),
-                Dump(aAnswer.Model()), this->shape.chat ? R"("delta":{"content":)" : R"("text":)");
-  this->eventTail =
-    this->shape.chat ? R"(},"finish_reason":null}]})" : R"(,"finish_reason":null}]})";
+                Dump(ObjectId(this->format, aAnswer)),
+                this->format.chat ? "chat.completion.chunk" : "text_completion", aAnswer.Created(),
+                Dump(aAnswer.Model()), this->format.chat ? R"("delta":{"content":)" : R"("text":)");
+  this->eventSuffix =
+    this->format.chat ? R"(},"finish_reason":null}]})" : R"(,"finish_reason":null}]})";
 }
 
 void
 EventAnswerWriter::WriteToken(const Answer& aAnswer, std::size_t aIndex)
 {
   fmt::format_to(std::back_inserter(this->buffer), "id: {}\ndata: ", aIndex);
-  this->buffer += this->eventHead;
+  this->buffer += this->eventPrefix;
   AppendJsonText(this->buffer, aAnswer.Token(aIndex));
-  this->buffer += this->eventTail;
+  this->buffer += this->eventSuffix;
   this->buffer += "\n\n";
 }
 
@@ -170,13 +170,13 @@
     return;
   }
   Json choice{ { "index", 0 }, { "finish_reason", aAnswer.FinishReason() } };
-  if (this->shape.chat) {
+  if (this->format.chat) {
     choice["delta"] = Json::object();
   } else {
     choice["text"] = "";
   }
-  const Json last{ { "id", ObjectId(this->shape, aAnswer) },
-                   { "object", this->shape.chat ? "chat.completion.chunk" : "text_completion" },
+  const Json last{ { "id", ObjectId(this->format, aAnswer) },
+                   { "object", this->format.chat ? "chat.completion.chunk" : "text_completion" },
                    { "created", aAnswer.Created() },
                    { "model", aAnswer.Model() },
                    { "choices", Json::array({ std::move(choice) }) },
--- a/Lagoonward/Frontend/AnswerWriters.h
+++ b/Lagoonward/Frontend/AnswerWriters.h
@@ -9,30 +9,30 @@
 
 namespace lagoonward {
 
-/// Answers a request with an error of the table.
+/// Responds with the HTTP status and JSON body of an error, and with `Retry-After` if its rule sends it.
 void
 RespondWithError(HttpExchange& aExchange, const Error& aError, std::string_view aRequestId = {});
 
-/// Writes a model's answer as one JSON body, in the OpenAI shape.
+/// Writes a model's answer as one JSON body, in the OpenAI format.
 class JsonAnswerWriter final : public AnswerSubscriber
 {
 public:
-  JsonAnswerWriter(HttpExchangePtr aExchange, const AnswerShape& aShape);
+  JsonAnswerWriter(HttpExchangePtr aExchange, const AnswerFormat& aFormat);
   void OnChanged(const Answer& aAnswer) override;
   [[nodiscard]] bool IsGone() override;
 
 private:
   HttpExchangePtr exchange;
-  AnswerShape shape;
+  AnswerFormat format;
 };
 
-/// Writes a model's answer as server-sent events, one a token. Each event's id is the token's index,
-/// so that a caller can go on after the last one it saw. An error before the first token is an
-/// ordinary error answer; a later one is an `error` event, then the stream ends.
+/// Writes a model's answer as server-sent events, one per token. Each event's id is the token's index, so
+/// that a caller can resume after the last event it received. An error before the first token is an ordinary error
+/// response; a later one is sent as an `error` event, then the stream ends.
 class EventAnswerWriter final : public AnswerSubscriber
 {
 public:
-  EventAnswerWriter(HttpExchangePtr aExchange, const AnswerShape& aShape);
+  EventAnswerWriter(HttpExchangePtr aExchange, const AnswerFormat& aFormat);
   void OnChanged(const Answer& aAnswer) override;
   [[nodiscard]] bool IsGone() override;
 
@@ -42,16 +42,16 @@
   void WriteEnd(const Answer& aAnswer);
 
   HttpExchangePtr exchange;
-  AnswerShape shape;
-  std::size_t nextToken; ///< First token that has not been written.
-  bool begun = false;
-  bool gone = false;     ///< The caller has gone or is too slow.
-  std::string eventHead; ///< Everything of a token's event between its id and its text.
-  std::string eventTail; ///< Everything after the text.
-  std::string buffer;    ///< Events of one round; reused.
+  AnswerFormat format;
+  std::size_t nextToken; ///< Index of the first token that has not been written.
+  bool streamStarted = false;
+  bool disconnected = false; ///< The caller has disconnected or reads too slowly.
+  std::string eventPrefix;   ///< Part of a token's event between its id and its text.
+  std::string eventSuffix;   ///< Part of a token's event after its text.
+  std::string buffer; ///< Events of one call of OnChanged(); a member so that its memory is reused.
 };
 
-/// Writes a plain service's reply as it came.
+/// Writes the reply of a service unchanged: status, content type and body.
 class ServiceAnswerWriter final : public AnswerSubscriber
 {
 public:
--- a/Lagoonward/Frontend/CallReader.cpp
+++ b/Lagoonward/Frontend/CallReader.cpp
@@ -18,7 +18,7 @@
 
 using Json = nlohmann::json;
 
-/// Seeds keep to the integers that every JSON reader represents exactly.
+/// Seeds are limited to 53 bits, the integers that every JSON parser represents exactly.
 constexpr std::uint64_t kSeedMask = (std::uint64_t{ 1 } << 53U) - 1;
 constexpr std::size_t kRequestIdBytes = 12;
 
@@ -28,7 +28,7 @@
   return { ErrorKind::InvalidRequest, std::move(aMessage) };
 }
 
-/// A new request id: "r-" and 24 hexadecimal digits.
+/// Makes a random request id: "r-" and 24 hexadecimal digits.
 std::string
 MakeRequestId()
 {
@@ -39,7 +39,7 @@
   return std::string("r-") + hex.data();
 }
 
-/// Whether a header's value may go into a log line, a URL or a record as it is.
+/// Whether a header's value can be used in a log line, a URL or a record without escaping.
 bool
 IsPrintable(std::string_view aText)
 {
@@ -47,7 +47,7 @@
                      [](char aByte) { return aByte > ' ' && aByte <= '~'; });
 }
 
-/// `name`, `name:adapter` or `name:adapter@version`, taken apart.
+/// Components of `name`, `name:adapter` or `name:adapter@version`.
 struct ModelName
 {
   std::string model;
@@ -72,13 +72,13 @@
   }
 };
 
-/// Finds what was asked for in the manifest and fills in the versions that were left out.
+/// Finds the requested model and adapter in the manifest and fills in the versions that the request omits.
 Result<void>
-ResolveModel(const Manifest& aManifest, std::string_view aAsked, EngineCall& aCall)
+ResolveModel(const Manifest& aManifest, std::string_view aRequested, EngineCall& aCall)
 {
-  const ModelName name = ModelName::Parse(aAsked);
+  const ModelName name = ModelName::Parse(aRequested);
   const Error unknown(ErrorKind::UnknownModel,
-                      fmt::format("The market has no model \"{}\".", aAsked));
+                      fmt::format("The market has no model \"{}\".", aRequested));
   for (const ManifestModel& model : aManifest.models) {
     if (model.name != name.model) {
       continue;
@@ -108,9 +108,9 @@
   return unknown;
 }
 
-/// The prompt of a chat: each message as its role, a line feed, its content, a line feed.
+/// Makes the prompt of a chat: for each message its role, a line feed, its content, a line feed.
 Result<std::string>
-JoinMessages(const Json& aBody)
+BuildChatPrompt(const Json& aBody)
 {
   const auto messages = aBody.find("messages");
   if (messages == aBody.end() || !messages->is_array() || messages->empty()) {
@@ -138,7 +138,7 @@
   return Invalid("\"prompt\" must be a string.");
 }
 
-/// An integer field; nothing when it is absent or null.
+/// Reads an integer field; returns nothing if it is absent or null.
 Result<std::optional<std::int64_t>>
 ReadInteger(const Json& aBody, const char* aName)
 {
@@ -165,17 +165,17 @@
   return field->get<bool>();
 }
 
-/// Rank of a priority among those of the manifest's classes, 0 the lowest.
+/// Rank of a priority among the distinct priorities of the manifest's classes; 0 is the lowest.
 int
-RankOf(const Manifest& aManifest, int aPriority)
+PriorityRank(const Manifest& aManifest, int aPriority)
 {
-  std::set<int> lower;
+  std::set<int> lowerPriorities;
   for (const ManifestClass& callClass : aManifest.classes) {
     if (callClass.priority < aPriority) {
-      lower.insert(callClass.priority);
+      lowerPriorities.insert(callClass.priority);
     }
   }
-  return static_cast<int>(lower.size());
+  return static_cast<int>(lowerPriorities.size());
 }
 
 } // namespace
@@ -199,9 +199,9 @@
   }
   CompletionRequest request;
   request.call.terms = std::move(terms.value());
-  request.shape.chat = aRequest.path == kChatPath;
+  request.format.chat = aRequest.path == kChatPath;
 
-  // What is asked for
+  // Model, prompt and token limit
   const auto model = body.find("model");
   if (model == body.end() || !model->is_string()) {
     return Invalid("\"model\" must be a string.");
@@ -212,23 +212,23 @@
       !resolved) {
     return resolved.error();
   }
-  auto prompt = request.shape.chat ? JoinMessages(body) : ReadPrompt(body);
+  auto prompt = request.format.chat ? BuildChatPrompt(body) : ReadPrompt(body);
   if (!prompt) {
     return prompt.error();
   }
   engine.prompt = std::move(prompt.value());
-  const auto asked = ReadInteger(
+  const auto requested = ReadInteger(
     body, body.contains("max_completion_tokens") ? "max_completion_tokens" : "max_tokens");
-  if (!asked) {
-    return asked.error();
+  if (!requested) {
+    return requested.error();
   }
-  const auto maxTokens = this->ReadMaxTokens(asked.value());
+  const auto maxTokens = this->ReadMaxTokens(requested.value());
   if (!maxTokens) {
     return maxTokens.error();
   }
   engine.maxTokens = maxTokens.value();
 
-  // How it is to be answered
+  // Format of the answer
   const auto stream = ReadFlag(body, "stream");
   const auto seed = ReadInteger(body, "seed");
   const auto choices = ReadInteger(body, "n");
@@ -238,7 +238,7 @@
   if (choices.value().value_or(1) != 1) {
     return Invalid("\"n\" must be 1.");
   }
-  request.shape.stream = stream.value();
+  request.format.stream = stream.value();
   if (const std::string_view last = aRequest.Header("Last-Event-ID"); !last.empty()) {
     std::size_t event = 0;
     const auto [end, failure] = std::from_chars(last.data(), last.data() + last.size(), event);
@@ -246,10 +246,10 @@
         request.call.terms.idempotencyKey.empty()) {
       return Invalid("Last-Event-ID must be an event's id and needs the Idempotency-Key.");
     }
-    request.shape.fromToken = event + 1;
+    request.format.fromToken = event + 1;
   }
 
-  // What follows from it. The seed comes from the request's identity, so that a rerun is the same
+  // Derived values. The default seed is a hash of the request's identity, so that a rerun generates the same answer
   engine.requestId = request.call.terms.requestId;
   engine.priority = request.call.terms.callClass.priority;
   const std::string identity =
@@ -307,7 +307,7 @@
   terms.objective = manifest.objective;
   terms.accepted = this->clock.Now();
 
-  // The class, by default the manifest's first
+  // The class; the manifest's first one by default
   const std::string_view className = aRequest.Header("Lagoonward-Class");
   const ManifestClass* callClass = className.empty()
                                      ? (manifest.classes.empty() ? nullptr : &manifest.classes[0])
@@ -317,12 +317,12 @@
                  fmt::format("The market has no class \"{}\".", className));
   }
   terms.callClass = *callClass;
-  terms.rank = RankOf(manifest, callClass->priority);
+  terms.rank = PriorityRank(manifest, callClass->priority);
   if (const auto deadline = this->ReadDeadline(aRequest, terms); !deadline) {
     return deadline.error();
   }
 
-  // What may be repeated, and under which key
+  // Idempotency and its key
   const std::string_view key = aRequest.Header("Idempotency-Key");
   if (key.size() > this->settings.maximumKeyBytes || !IsPrintable(key)) {
     return Invalid(fmt::format("Idempotency-Key must have at most {} printable characters.",
@@ -342,11 +342,12 @@
 CallReader::ReadDeadline(const HttpRequest& aRequest, CallTerms& aTerms) const
 {
   Milliseconds span = aTerms.callClass.deadline;
-  if (const std::string_view asked = aRequest.Header("Lagoonward-Deadline-Ms"); !asked.empty()) {
+  if (const std::string_view requested = aRequest.Header("Lagoonward-Deadline-Ms");
+      !requested.empty()) {
     std::int64_t milliseconds = 0;
     const auto [end, failure] =
-      std::from_chars(asked.data(), asked.data() + asked.size(), milliseconds);
-    if (failure != std::errc() || end != asked.data() + asked.size() || milliseconds <= 0 ||
+      std::from_chars(requested.data(), requested.data() + requested.size(), milliseconds);
+    if (failure != std::errc() || end != requested.data() + requested.size() || milliseconds <= 0 ||
         milliseconds > this->settings.maximumDeadline.count()) {
       return Invalid(fmt::format("Lagoonward-Deadline-Ms must be from 1 to {}.",
                                  this->settings.maximumDeadline.count()));
@@ -358,14 +359,14 @@
 }
 
 Result<int>
-CallReader::ReadMaxTokens(const std::optional<std::int64_t>& aAsked) const
+CallReader::ReadMaxTokens(const std::optional<std::int64_t>& aRequested) const
 {
-  const std::int64_t asked = aAsked.value_or(this->settings.defaultMaxTokens);
-  if (asked < 1 || asked > this->settings.maximumMaxTokens) {
+  const std::int64_t requested = aRequested.value_or(this->settings.defaultMaxTokens);
+  if (requested < 1 || requested > this->settings.maximumMaxTokens) {
     return Invalid(
       fmt::format("\"max_tokens\" must be from 1 to {}.", this->settings.maximumMaxTokens));
   }
-  return static_cast<int>(asked);
+  return static_cast<int>(requested);
 }
 
 } // namespace lagoonward
--- a/Lagoonward/Frontend/CallReader.h
+++ b/Lagoonward/Frontend/CallReader.h
@@ -9,31 +9,32 @@
 
 namespace lagoonward {
 
-/// Tunables of what callers may ask for.
+/// Limits and defaults for callers' requests.
 struct CallSettings
 {
-  int defaultMaxTokens = 256;        ///< When the body names none.
-  int maximumMaxTokens = 32'768;     ///< Largest answer that may be asked for.
-  std::size_t maximumKeyBytes = 256; ///< Longest idempotency key.
+  int defaultMaxTokens = 256;        ///< Used if the body has no limit.
+  int maximumMaxTokens = 32'768;     ///< Largest limit that a caller may request.
+  std::size_t maximumKeyBytes = 256; ///< Longest accepted idempotency key.
   Milliseconds maximumDeadline{ 24 * 3600 * 1000 };
 };
 
-/// The shape in which a caller wants a model's answer.
-struct AnswerShape
+/// The format in which a caller requests a model's answer.
+struct AnswerFormat
 {
-  bool chat = false;                    ///< Chat objects rather than completion objects.
-  bool stream = false;                  ///< Server-sent events rather than one JSON body.
-  std::optional<std::size_t> fromToken; ///< First token that the caller still lacks.
+  bool chat = false;                    ///< Chat objects instead of completion objects.
+  bool stream = false;                  ///< Server-sent events instead of one JSON body.
+  std::optional<std::size_t> fromToken; ///< First token to send, if the caller resumes a stream.
 };
 
-/// A checked completion request with its shape.
+/// A validated completion request and the format of its answer.
 struct CompletionRequest
 {
   CompletionCall call;
-  AnswerShape shape;
+  AnswerFormat format;
 };
 
-/// Checks callers' requests against what is in force and turns them into calls. Pure.
+/// Validates callers' requests against the configuration in force and converts them to calls. Has no mutable state;
+/// thread-safe.
 class CallReader
 {
 public:
@@ -49,7 +50,7 @@
   [[nodiscard]] Result<ServiceCall> ReadService(const HttpRequest& aRequest,
                                                 const Configuration& aConfiguration) const;
 
-  /// Path prefix of services' calls.
+  /// Path prefix of service calls.
   static constexpr std::string_view kServicePrefix = "/v1/services/";
   static constexpr std::string_view kCompletionPath = "/v1/completions";
   static constexpr std::string_view kChatPath = "/v1/chat/completions";
@@ -58,7 +59,7 @@
   [[nodiscard]] Result<CallTerms> ReadTerms(const HttpRequest& aRequest,
                                             const Configuration& aConfiguration) const;
   [[nodiscard]] Result<void> ReadDeadline(const HttpRequest& aRequest, CallTerms& aTerms) const;
-  [[nodiscard]] Result<int> ReadMaxTokens(const std::optional<std::int64_t>& aAsked) const;
+  [[nodiscard]] Result<int> ReadMaxTokens(const std::optional<std::int64_t>& aRequested) const;
 
   CallSettings settings;
   const Clock& clock;
--- a/Lagoonward/Frontend/CallerApi.cpp
+++ b/Lagoonward/Frontend/CallerApi.cpp
@@ -12,13 +12,13 @@
 const Log kLog("callers");
 
 constexpr std::string_view kMarketHeader = "Lagoonward-Market";
-constexpr std::size_t kMaximumMarketName = 64;
-constexpr Milliseconds kDrainPoll{ 10 };
+constexpr std::size_t kMaximumMarketNameLength = 64;
+constexpr Milliseconds kDrainPollInterval{ 10 };
 
 bool
-IsMarketName(std::string_view aName)
+IsValidMarketName(std::string_view aName)
 {
-  return aName.size() <= kMaximumMarketName &&
+  return aName.size() <= kMaximumMarketNameLength &&
          std::all_of(aName.begin(), aName.end(), [](unsigned char aByte) {
            return std::isalnum(aByte) != 0 || aByte == '-' || aByte == '_';
          });
@@ -57,12 +57,13 @@
 void
 CallerApi::Drain()
 {
-  // The balancer needs a moment to notice that this daemon is no longer ready
+  // The load balancer needs this time to detect that the daemon is no longer ready
   std::this_thread::sleep_for(this->drainNotice);
   this->server.StopListening();
-  kLog.Info("Takes no new connections; {} requests are open.", this->server.OpenExchanges());
+  kLog.Info("Stopped accepting connections; waiting for {} open requests.",
+            this->server.OpenExchanges());
   while (this->server.OpenExchanges() > 0) {
-    std::this_thread::sleep_for(kDrainPoll);
+    std::this_thread::sleep_for(kDrainPollInterval);
   }
 }
 
@@ -120,10 +121,10 @@
     return;
   }
   std::shared_ptr<AnswerSubscriber> writer;
-  if (request.value().shape.stream) {
-    writer = std::make_shared<EventAnswerWriter>(aExchange, request.value().shape);
+  if (request.value().format.stream) {
+    writer = std::make_shared<EventAnswerWriter>(aExchange, request.value().format);
   } else {
-    writer = std::make_shared<JsonAnswerWriter>(aExchange, request.value().shape);
+    writer = std::make_shared<JsonAnswerWriter>(aExchange, request.value().format);
   }
   this->runs.Submit(std::move(request.value().call), market.value(), writer);
 }
@@ -156,18 +157,19 @@
       return inForce.front();
     }
     if (inForce.empty()) {
-      return Error(ErrorKind::NoConfiguration, "No configuration is in force here yet.");
+      return Error(ErrorKind::NoConfiguration, "No configuration is in force on this daemon yet.");
     }
     return Error(ErrorKind::InvalidRequest,
-                 "Several markets are in force; name one in Lagoonward-Market.");
+                 "Several markets are in force; name one of them in Lagoonward-Market.");
   }
-  if (!IsMarketName(name)) {
-    return Error(ErrorKind::UnknownMarket, "Lagoonward-Market is not a market's name.");
+  if (!IsValidMarketName(name)) {
+    return Error(ErrorKind::UnknownMarket, "Lagoonward-Market is not a valid market name.");
   }
   const MarketPtr market = this->markets.Find(name);
   if (market == nullptr) {
     this->onUnknownMarket(name);
-    return Error(ErrorKind::NoConfiguration, "The market's configuration is being looked for.");
+    return Error(ErrorKind::NoConfiguration,
+                 "The market's configuration is not known yet; it is being read.");
   }
   if (market->InForce() != nullptr) {
     return market;
@@ -175,7 +177,8 @@
   if (market->IsKnownEmpty()) {
     return Error(ErrorKind::UnknownMarket, "No manifest was published for this market.");
   }
-  return Error(ErrorKind::NoConfiguration, "The market's configuration is being looked for.");
+  return Error(ErrorKind::NoConfiguration,
+               "The market's configuration is not known yet; it is being read.");
 }
 
 } // namespace lagoonward
--- a/Lagoonward/Frontend/CallerApi.h
+++ b/Lagoonward/Frontend/CallerApi.h
@@ -12,25 +12,26 @@
 
 namespace lagoonward {
 
-/// The HTTP interface for callers: checks each request, hands it to the runs and writes the answer.
+/// The HTTP interface for callers: validates each request, submits it to the RunService and writes the answer.
 /// Its paths and headers are in docs/INTERFACES.md.
 class CallerApi final : public Service
 {
 public:
   static constexpr std::string_view kName = "callers";
 
-  /// @param aOnUnknownMarket  asked to follow a market that a caller has named; any thread
+  /// @param aOnUnknownMarket  called with the name of a market that a request names and this daemon does not follow
+  ///                          yet, so that it starts to follow it; any thread
   CallerApi(HttpServerSettings aServer, const CallSettings& aCalls, Milliseconds aDrainNotice,
             const Clock& aClock, MarketDirectory& aMarkets, RunService& aRuns,
             std::function<void(const std::string& aMarket)> aOnUnknownMarket);
 
   [[nodiscard]] std::string_view Name() const override;
   [[nodiscard]] Result<void> Start() override;
-  /// Serves on for the drain notice, then takes no new connection and waits for the open requests.
+  /// Keeps serving for the drain notice, then accepts no new connections and waits for the open requests.
   void Drain() override;
   void Stop() override;
 
-  /// The port it listens on.
+  /// The port that the server listens on.
   [[nodiscard]] std::uint16_t Port() const;
   [[nodiscard]] int OpenRequests() const;
 
--- a/Lagoonward/Frontend/ClientAuthenticator.cpp
+++ b/Lagoonward/Frontend/ClientAuthenticator.cpp
@@ -11,7 +11,7 @@
 constexpr std::string_view kScheme = "Bearer ";
 constexpr std::size_t kHexBytes = crypto_hash_sha256_BYTES * 2;
 
-/// SHA-256 of the key in lower-case hexadecimal.
+/// SHA-256 of the key in lower-case hexadecimal, null-terminated.
 std::array<char, kHexBytes + 1>
 HashKey(std::string_view aKey)
 {
@@ -31,7 +31,7 @@
   const ManifestClient* match = nullptr;
   if (aAuthorization.starts_with(kScheme)) {
     const auto hex = HashKey(aAuthorization.substr(kScheme.size()));
-    // Every account is compared, so that the time tells nothing
+    // All accounts are compared even after a match, so that the duration does not reveal which one matches
     for (const ManifestClient& client : aManifest.clients) {
       const bool equal = client.keySha256.size() == kHexBytes &&
                          sodium_memcmp(client.keySha256.data(), hex.data(), kHexBytes) == 0;
--- a/Lagoonward/Frontend/ClientAuthenticator.h
+++ b/Lagoonward/Frontend/ClientAuthenticator.h
@@ -7,8 +7,8 @@
 
 namespace lagoonward {
 
-/// Finds the client account that a key belongs to. Keys are known by their SHA-256 only, compared in
-/// constant time against every account, and never logged.
+/// Finds the client account of a key. The manifest has only the SHA-256 of each key. The hash is compared in constant
+/// time against every account; keys are never logged.
 class ClientAuthenticator
 {
 public:
--- a/UnitTests/Core/ErrorKindTests.cpp
+++ b/UnitTests/Core/ErrorKindTests.cpp
@@ -8,7 +8,7 @@
 
 BOOST_AUTO_TEST_SUITE(ErrorKindTests)
 
-BOOST_AUTO_TEST_CASE(TableFollowsTheEnumeration)
+BOOST_AUTO_TEST_CASE(RulesAreInEnumerationOrderWithUniqueNames)
 {
   std::set<std::string_view> names;
   int position = 0;
@@ -21,14 +21,14 @@
   BOOST_TEST(position == static_cast<int>(ErrorKind::Internal) + 1);
 }
 
-BOOST_AUTO_TEST_CASE(BodyNamesKindMessageAndRan)
+BOOST_AUTO_TEST_CASE(JsonBodyContainsKindMessageAndRan)
 {
   const Error error(ErrorKind::ClaimUnavailable, "the log is away");
   BOOST_TEST(error.ToJson() ==
              R"({"error":{"kind":"claim_unavailable","message":"the log is away","ran":"no"}})");
 }
 
-BOOST_AUTO_TEST_CASE(BodyStaysValidWhenTheMessageIsNotUtf8)
+BOOST_AUTO_TEST_CASE(InvalidUtf8InMessageIsReplacedInJsonBody)
 {
   const Error error(ErrorKind::InvalidRequest, "bad \xff byte");
   BOOST_TEST(error.ToJson().find("bad \xef\xbf\xbd byte") != std::string::npos);
--- a/UnitTests/Core/JsonTextTests.cpp
+++ b/UnitTests/Core/JsonTextTests.cpp
@@ -7,10 +7,10 @@
 
 BOOST_AUTO_TEST_SUITE(JsonTextTests)
 
-BOOST_AUTO_TEST_CASE(WritesWhatTheLibraryWrites)
+BOOST_AUTO_TEST_CASE(AppendedTextEqualsLibraryOutputForEveryByte)
 {
   using Json = nlohmann::json;
-  // Every byte by itself and inside plain text, alone mostly no UTF-8
+  // Every byte value alone, within ASCII text and after a two-byte UTF-8 character; most are invalid UTF-8 alone
   for (int byte = 0; byte < 256; ++byte) {
     const std::string alone(1, static_cast<char>(byte));
     for (const std::string& text : { alone, "ab" + alone + "cd", "\xc3\xa5" + alone }) {
@@ -21,7 +21,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(KnowsPlainText)
+BOOST_AUTO_TEST_CASE(QuotesBackslashesControlAndNonAsciiBytesAreNotPlainText)
 {
   BOOST_TEST(IsPlainJsonText(" outfall, {9}~"));
   for (const char* text : { "\"", "\\", "\n", "\x7f", "\xc3\xa5" }) {
--- a/UnitTests/Core/KernelTests.cpp
+++ b/UnitTests/Core/KernelTests.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Writes down what the kernel does to it.
+/// Appends each call of the kernel to a string: `+` start, `~` drain, `-` stop, then the service's name.
 class RecordingService final : public Service
 {
 public:
@@ -41,7 +41,7 @@
 
 BOOST_AUTO_TEST_SUITE(KernelTests)
 
-BOOST_AUTO_TEST_CASE(StartsInOrderAndStopsInReverse)
+BOOST_AUTO_TEST_CASE(ServicesStartInOrderAndDrainAndStopInReverse)
 {
   std::string journal;
   Kernel kernel;
@@ -54,7 +54,7 @@
   BOOST_TEST(journal == "+a+b~b~a-b-a");
 }
 
-BOOST_AUTO_TEST_CASE(FailedStartStopsWhatRan)
+BOOST_AUTO_TEST_CASE(FailedStartStopsStartedServices)
 {
   std::string journal;
   Kernel kernel;
@@ -64,7 +64,7 @@
   BOOST_TEST(journal == "+a-a");
 }
 
-BOOST_AUTO_TEST_CASE(FindsServicesByName)
+BOOST_AUTO_TEST_CASE(FindReturnsServiceByNameOrNull)
 {
   std::string journal;
   Kernel kernel;
--- a/UnitTests/Frontend/CallReaderTests.cpp
+++ b/UnitTests/Frontend/CallReaderTests.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// A small market. The client's key is "secret".
+/// Configuration of a market with one model, two services and two classes. The client's key is "secret".
 Configuration
 MakeConfiguration()
 {
@@ -42,8 +42,8 @@
   CallReader reader{ {}, clock };
   Configuration configuration = MakeConfiguration();
 
-  /// The kind of error that a request gets.
-  ErrorKind KindOf(const HttpRequest& aRequest)
+  /// Reads an invalid request and returns the kind of its error.
+  ErrorKind ReadErrorKind(const HttpRequest& aRequest)
   {
     const auto result = this->reader.ReadCompletion(aRequest, this->configuration);
     BOOST_REQUIRE(!result.has_value());
@@ -56,7 +56,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(CallReaderTests, Fixture)
 
-BOOST_AUTO_TEST_CASE(ReadsACompletion)
+BOOST_AUTO_TEST_CASE(CompletionFieldsAndHeadersAreRead)
 {
   auto request = MakeRequest(
     R"({"model":"permit:letters@2","prompt":"a b c","max_tokens":9,"stream":true,"seed":5})");
@@ -72,10 +72,10 @@
   BOOST_TEST(call.engine.adapterVersion == "2");
   BOOST_TEST(call.engine.seed == 5U);
   BOOST_TEST(call.promptTokens == 3);
-  BOOST_TEST(result.value().shape.stream);
+  BOOST_TEST(result.value().format.stream);
 }
 
-BOOST_AUTO_TEST_CASE(SeedFollowsFromTheIdempotencyKey)
+BOOST_AUTO_TEST_CASE(SameIdempotencyKeyGivesTheSameSeed)
 {
   auto request = MakeRequest(R"({"model":"permit","prompt":"a"})");
   request.headers.emplace_back("Idempotency-Key", "k1");
@@ -86,7 +86,7 @@
   BOOST_TEST(first.value().call.engine.requestId != second.value().call.engine.requestId);
 }
 
-BOOST_AUTO_TEST_CASE(JoinsChatMessages)
+BOOST_AUTO_TEST_CASE(ChatMessagesAreJoinedToOnePrompt)
 {
   auto request =
     MakeRequest(R"({"model":"permit","messages":[{"role":"user","content":"hello"}]})");
@@ -95,21 +95,21 @@
   BOOST_TEST(result.value().call.engine.prompt == "user\nhello\n");
 }
 
-BOOST_AUTO_TEST_CASE(EachFaultHasItsKind)
+BOOST_AUTO_TEST_CASE(InvalidRequestsGetTheMatchingErrorKind)
 {
   const std::string good = R"({"model":"permit","prompt":"a"})";
   auto request = MakeRequest(good);
   request.headers.clear();
-  BOOST_TEST((this->KindOf(request) == ErrorKind::Unauthorized));
+  BOOST_TEST((this->ReadErrorKind(request) == ErrorKind::Unauthorized));
   request.headers = { { "Authorization", "Bearer wrong" } };
-  BOOST_TEST((this->KindOf(request) == ErrorKind::Unauthorized));
+  BOOST_TEST((this->ReadErrorKind(request) == ErrorKind::Unauthorized));
   request = MakeRequest(good);
   request.headers.emplace_back("Lagoonward-Class", "none");
-  BOOST_TEST((this->KindOf(request) == ErrorKind::UnknownClass));
+  BOOST_TEST((this->ReadErrorKind(request) == ErrorKind::UnknownClass));
 
   for (const char* model : { "none", "permit:none", "permit:letters@9" }) {
     const std::string body = std::string(R"({"prompt":"a","model":")") + model + "\"}";
-    BOOST_TEST((this->KindOf(MakeRequest(body)) == ErrorKind::UnknownModel), model);
+    BOOST_TEST((this->ReadErrorKind(MakeRequest(body)) == ErrorKind::UnknownModel), model);
   }
   for (const char* body :
        { "", "[]", "{", "{\"prompt\":\"\xff\",\"model\":\"permit\"}", R"({"model":"permit"})",
@@ -117,11 +117,11 @@
          R"({"model":"permit","prompt":"a","max_tokens":"9"})",
          R"({"model":"permit","prompt":"a","stream":1})",
          R"({"model":"permit","prompt":"a","n":2})" }) {
-    BOOST_TEST((this->KindOf(MakeRequest(body)) == ErrorKind::InvalidRequest), body);
+    BOOST_TEST((this->ReadErrorKind(MakeRequest(body)) == ErrorKind::InvalidRequest), body);
   }
 }
 
-BOOST_AUTO_TEST_CASE(HeadersAreChecked)
+BOOST_AUTO_TEST_CASE(InvalidHeaderValuesAreRejected)
 {
   const std::string good = R"({"model":"permit","prompt":"a"})";
   for (const auto& [name, value] : std::vector<HttpHeader>{ { "Lagoonward-Deadline-Ms", "0" },
@@ -131,11 +131,11 @@
                                                             { "Last-Event-ID", "4" } }) {
     auto request = MakeRequest(good);
     request.headers.emplace_back(name, value);
-    BOOST_TEST((this->KindOf(request) == ErrorKind::InvalidRequest), name << "=" << value);
+    BOOST_TEST((this->ReadErrorKind(request) == ErrorKind::InvalidRequest), name << "=" << value);
   }
 }
 
-BOOST_AUTO_TEST_CASE(ServiceDecidesWhetherACallMayRepeat)
+BOOST_AUTO_TEST_CASE(ServiceCallIsIdempotentOnlyIfTheServiceIsRepeatable)
 {
   auto request = MakeRequest("payload");
   request.path = "/v1/services/submit/a/b";
