--- a/UnitTests/Docs/OperationsPageTests.cpp
+++ b/UnitTests/Docs/OperationsPageTests.cpp
@@ -24,7 +24,7 @@
 
 BOOST_AUTO_TEST_SUITE(OperationsPageTests)
 
-BOOST_AUTO_TEST_CASE(NamesEverySetting)
+BOOST_AUTO_TEST_CASE(OperationsPageListsEverySetting)
 {
   const std::string page = ReadPage();
   for (const SettingRule& rule : SettingsReader::Rules()) {
@@ -32,7 +32,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(NamesEveryErrorKindWithItsStatus)
+BOOST_AUTO_TEST_CASE(OperationsPageListsEveryErrorKindWithItsHttpStatus)
 {
   const std::string page = ReadPage();
   for (const ErrorRule& rule : GetErrorRules()) {
@@ -41,7 +41,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(NamesEveryMetricOfTheRuns)
+BOOST_AUTO_TEST_CASE(OperationsPageListsEveryMetricOfRunMetrics)
 {
   const std::string page = ReadPage();
   const SystemClock clock;
--- a/UnitTests/Support/FakeHttpServer.cpp
+++ b/UnitTests/Support/FakeHttpServer.cpp
@@ -16,7 +16,7 @@
   return MHD_YES;
 }
 
-/// The library calls once with the headers, then with parts of the body, then once without.
+/// libmicrohttpd calls this once with the headers, then with chunks of the body, then once without data.
 MHD_Result
 OnRequest(void* aServer, MHD_Connection* aConnection, const char* aUrl, const char* aMethod,
           const char* /*aVersion*/, const char* aData, std::size_t* aSize, void** aState)
@@ -56,7 +56,7 @@
                      nullptr, &OnRequest, this, MHD_OPTION_SOCK_ADDR, &address,
                      MHD_OPTION_NOTIFY_COMPLETED, &OnFinished, nullptr, MHD_OPTION_END);
   if (this->daemon == nullptr) {
-    throw std::runtime_error("cannot start the fake server");
+    throw std::runtime_error("cannot start the fake HTTP server on a loopback port");
   }
 }
 
--- a/UnitTests/Support/FakeHttpServer.h
+++ b/UnitTests/Support/FakeHttpServer.h
@@ -22,13 +22,14 @@
   std::string body;
 };
 
-/// What a fake server answers.
+/// Response of a fake server.
 struct FakeAnswer
 {
   int status = 200;
   std::string body;
   std::map<std::string, std::string> headers;
-  bool silent = false; ///< Never answers, until the server goes away.
+  bool silent =
+    false; ///< Sends no response; the connection is closed when the server is destroyed.
 };
 
 /// A small HTTP server on a free loopback port, for tests of clients. The handler runs on one thread
@@ -45,7 +46,7 @@
 
   [[nodiscard]] std::string Url() const;
 
-  /// Called by the library for each request that has arrived whole.
+  /// Called by libmicrohttpd for each request that has been received completely.
   [[nodiscard]] bool Answer(MHD_Connection* aConnection, const FakeRequest& aRequest);
 
 private:
--- a/UnitTests/Support/FakeLogService.cpp
+++ b/UnitTests/Support/FakeLogService.cpp
@@ -9,7 +9,9 @@
 Error
 Unavailable()
 {
-  return Error(ErrorKind::PlatformUnavailable, "fake outage").WithRetryAfter(Milliseconds(100));
+  return Error(ErrorKind::PlatformUnavailable,
+               "the fake log service is unavailable: injected fault")
+    .WithRetryAfter(Milliseconds(100));
 }
 
 } // namespace
@@ -30,7 +32,7 @@
       this->Store(aStream, aRecord);
       break;
     case Fault::Late:
-      this->late.emplace_back(aStream, aRecord);
+      this->lateAppends.emplace_back(aStream, aRecord);
       break;
     case Fault::Refused:
       break;
@@ -84,10 +86,10 @@
 FakeLogService::DeliverLate()
 {
   const std::lock_guard lock(this->mutex);
-  for (const auto& [stream, record] : this->late) {
+  for (const auto& [stream, record] : this->lateAppends) {
     this->Store(stream, record);
   }
-  this->late.clear();
+  this->lateAppends.clear();
 }
 
 void
--- a/UnitTests/Support/LoopbackPeers.h
+++ b/UnitTests/Support/LoopbackPeers.h
@@ -13,10 +13,10 @@
 
 namespace lagoonward::testing {
 
-/// How long tests wait for what must come.
+/// Timeout of Await().
 inline constexpr Seconds kPatience{ 20 };
 
-/// Waits until a condition holds, or fails the test.
+/// Polls a condition every 10 ms until it holds; fails the test after the timeout.
 template<typename Condition>
 void
 Await(Condition aCondition)
@@ -27,7 +27,7 @@
   BOOST_TEST_REQUIRE(aCondition());
 }
 
-/// A daemon on loopback, in a failure domain of its own.
+/// Identity of a daemon on loopback, in its own failure domain.
 inline MembershipIdentity
 LoopbackIdentity(int aIndex)
 {
@@ -38,7 +38,7 @@
   return identity;
 }
 
-/// The keys that these daemons share.
+/// The key ring that these daemons share.
 inline KeyRing
 LoopbackKeys()
 {
@@ -47,15 +47,16 @@
     .value();
 }
 
-/// Polls nobody.
+/// Poll callback that sends no poll and never reports a result.
 inline void
 PollNothing(const HostEntry& /*aEndpoint*/, const MembershipService::PollDone& /*aDone*/)
 {
 }
 
-/// Introduces started daemons, in the order of their indices, to each other and waits until each knows all.
+/// Gives started daemons, in the order of their indices, a host list with all of them and waits until each has all
+/// others as peers.
 inline void
-Introduce(const std::vector<MembershipService*>& aDaemons)
+ConnectAsPeers(const std::vector<MembershipService*>& aDaemons)
 {
   std::vector<HostEntry> hosts;
   for (MembershipService* daemon : aDaemons) {
@@ -73,7 +74,7 @@
   });
 }
 
-/// The index of a daemon that LoopbackIdentity() names.
+/// The index of the daemon whose LoopbackIdentity() has this key.
 inline std::size_t
 LoopbackIndexOf(PeerKey aKey)
 {
@@ -84,7 +85,8 @@
   return static_cast<std::size_t>(index);
 }
 
-/// Daemons on loopback that know each other. Each is made of a clock and its index, and has a `membership`.
+/// Daemons on loopback that are peers of each other. `Daemon` is constructed from a clock and an index, and has a
+/// member `membership`.
 template<typename Daemon, int Count>
 struct LoopbackFleet
 {
@@ -97,7 +99,7 @@
       this->daemons.push_back(std::make_unique<Daemon>(this->clock, index));
       memberships.push_back(&this->daemons.back()->membership);
     }
-    Introduce(memberships);
+    ConnectAsPeers(memberships);
   }
 
   ~LoopbackFleet()
@@ -110,7 +112,7 @@
   LoopbackFleet(const LoopbackFleet&) = delete;
   LoopbackFleet& operator=(const LoopbackFleet&) = delete;
 
-  /// The keepers of a key, as the first daemon sees them.
+  /// The owners of a key according to the peers of the first daemon.
   [[nodiscard]] Keepers KeepersOf(std::uint64_t aKey) const
   {
     KeeperPlan plan(LoopbackIdentity(0).self, true, *this->daemons[0]->membership.Peers());
--- a/UnitTests/Support/RawClient.cpp
+++ b/UnitTests/Support/RawClient.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr int kPatienceMilliseconds = 10'000;
+constexpr int kReadTimeoutMilliseconds = 10'000;
 
 } // namespace
 
@@ -40,7 +40,7 @@
   std::array<char, 4096> buffer{};
   while (aUntil.empty() || received.find(aUntil) == std::string::npos) {
     pollfd descriptor{ this->socket.Get(), POLLIN, 0 };
-    if (::poll(&descriptor, 1, kPatienceMilliseconds) <= 0) {
+    if (::poll(&descriptor, 1, kReadTimeoutMilliseconds) <= 0) {
       break;
     }
     const ssize_t count = ::recv(this->socket.Get(), buffer.data(), buffer.size(), 0);
--- a/UnitTests/Support/RawClient.h
+++ b/UnitTests/Support/RawClient.h
@@ -8,7 +8,8 @@
 
 namespace lagoonward::testing {
 
-/// A connection to a loopback port that sends exactly what it is told to and closes as it is told to.
+/// A TCP connection to a loopback port. The test controls exactly which bytes are sent and when each direction is
+/// closed.
 class RawClient
 {
 public:
@@ -16,14 +17,14 @@
 
   void Send(std::string_view aBytes);
 
-  /// Reads until the bytes hold a text, the connection ends, or ten seconds have passed.
-  /// @return what has been read
+  /// Reads until the received bytes contain aUntil, the connection ends, or ten seconds pass without data.
+  /// @return all bytes received by this call
   [[nodiscard]] std::string Read(std::string_view aUntil);
 
   /// Reads until the connection ends.
   [[nodiscard]] std::string ReadToEnd();
 
-  /// Announces that nothing more will be sent.
+  /// Shuts down the sending direction; the connection can still receive.
   void CloseSendingHalf();
   void Close();
 
--- a/UnitTests/Support/SampleManifest.h
+++ b/UnitTests/Support/SampleManifest.h
@@ -6,11 +6,11 @@
 
 namespace lagoonward::testing {
 
-/// A valid manifest with every field, for tests to change.
+/// A valid manifest with every field, as JSON for tests to modify.
 [[nodiscard]] nlohmann::json
 SampleManifestJson(std::string_view aMarket = "vestland");
 
-/// The same, as read.
+/// The same manifest, parsed.
 [[nodiscard]] Manifest
 SampleManifest(std::string_view aMarket = "vestland");
 
--- a/UnitTests/Support/ScriptedServer.cpp
+++ b/UnitTests/Support/ScriptedServer.cpp
@@ -13,9 +13,9 @@
 
 namespace {
 
-constexpr int kPollMilliseconds = 20;
+constexpr int kPollIntervalMilliseconds = 20;
 
-/// Length of the request at the beginning of some bytes, or zero while it is not whole.
+/// Length of the HTTP request at the beginning of the bytes, or zero while it is incomplete.
 std::size_t
 RequestLength(const std::string& aBytes)
 {
@@ -28,8 +28,8 @@
   if (length < head) {
     body = std::strtoul(aBytes.c_str() + length + sizeof("Content-Length: ") - 1, nullptr, 10);
   }
-  const std::size_t whole = head + 4 + body;
-  return aBytes.size() >= whole ? whole : 0;
+  const std::size_t total = head + 4 + body;
+  return aBytes.size() >= total ? total : 0;
 }
 
 bool
@@ -79,7 +79,7 @@
 {
   while (!this->stopping) {
     pollfd descriptor{ this->listener.Get(), POLLIN, 0 };
-    if (::poll(&descriptor, 1, kPollMilliseconds) <= 0) {
+    if (::poll(&descriptor, 1, kPollIntervalMilliseconds) <= 0) {
       continue;
     }
     const int socket = ::accept4(this->listener.Get(), nullptr, nullptr, SOCK_CLOEXEC);
@@ -87,7 +87,7 @@
       const std::lock_guard lock(this->mutex);
       this->connections.emplace_back([this, socket] { this->Serve(socket); });
     } else {
-      std::this_thread::sleep_for(Milliseconds(kPollMilliseconds));
+      std::this_thread::sleep_for(Milliseconds(kPollIntervalMilliseconds));
     }
   }
 }
@@ -99,7 +99,7 @@
   std::string received;
   while (!this->stopping) {
     pollfd descriptor{ aSocket, POLLIN, 0 };
-    if (::poll(&descriptor, 1, kPollMilliseconds) <= 0) {
+    if (::poll(&descriptor, 1, kPollIntervalMilliseconds) <= 0) {
       continue;
     }
     std::array<char, 4096> buffer{};
@@ -115,7 +115,7 @@
         const std::lock_guard lock(this->mutex);
         this->requests.push_back(request);
       }
-      if (!this->Play(aSocket, this->handler(request))) {
+      if (!this->RunScript(aSocket, this->handler(request))) {
         return;
       }
     }
@@ -123,7 +123,7 @@
 }
 
 bool
-ScriptedServer::Play(int aSocket, const Script& aScript)
+ScriptedServer::RunScript(int aSocket, const Script& aScript)
 {
   for (const ScriptStep& step : aScript) {
     switch (step.kind) {
@@ -132,8 +132,8 @@
         break;
       case ScriptStep::Kind::Wait:
         for (Milliseconds left = step.span; left > Milliseconds::zero() && !this->stopping;
-             left -= Milliseconds(kPollMilliseconds)) {
-          if (IsClosed(aSocket, std::min(left, Milliseconds(kPollMilliseconds)))) {
+             left -= Milliseconds(kPollIntervalMilliseconds)) {
+          if (IsClosed(aSocket, std::min(left, Milliseconds(kPollIntervalMilliseconds)))) {
             ++this->abandoned;
             return false;
           }
--- a/UnitTests/Support/ScriptedServer.h
+++ b/UnitTests/Support/ScriptedServer.h
@@ -13,16 +13,16 @@
 
 namespace lagoonward::testing {
 
-/// What a scripted server does with one request, in order.
+/// One step of a scripted server's response to a request.
 struct ScriptStep
 {
   enum class Kind
   {
     Send,  ///< Sends the bytes.
-    Wait,  ///< Waits, or until the other end has closed.
-    Close, ///< Ends the connection properly.
-    Reset, ///< Breaks the connection off.
-    Die,   ///< Breaks the connection off, and takes no new ones from here on.
+    Wait,  ///< Waits for the span, or until the other end closes; then the script is abandoned.
+    Close, ///< Closes the connection with FIN.
+    Reset, ///< Closes the connection with RST.
+    Die,   ///< Closes the connection with RST and stops listening.
   };
 
   Kind kind = Kind::Send;
@@ -32,12 +32,12 @@
 
 using Script = std::vector<ScriptStep>;
 
-/// A server on a free loopback port that sends exactly the bytes it is told to, right or wrong, so that
-/// tests see what comes of answers that no library would write. One thread a connection.
+/// A server on a free loopback port that sends exactly the bytes of a script, valid or not, so that tests can use
+/// responses that no HTTP library would produce. One thread per connection.
 class ScriptedServer
 {
 public:
-  /// @param aHandler  the script for a request, given whole with head and body; any thread
+  /// Returns the script for a complete request (head and body). Called on any thread.
   using Handler = std::function<Script(const std::string& aRequest)>;
 
   explicit ScriptedServer(Handler aHandler);
@@ -47,23 +47,23 @@
 
   [[nodiscard]] std::uint16_t Port() const { return this->port; }
 
-  /// Requests so far, whole.
+  /// All complete requests received so far.
   [[nodiscard]] std::vector<std::string> Requests() const;
 
-  /// Connections whose other end closed while a script waited.
+  /// Number of connections whose other end closed during a Wait step.
   [[nodiscard]] int Abandoned() const { return this->abandoned; }
 
 private:
   void Accept();
   void Serve(int aSocket);
-  [[nodiscard]] bool Play(int aSocket, const Script& aScript);
+  [[nodiscard]] bool RunScript(int aSocket, const Script& aScript);
 
   Handler handler;
   UniqueFd listener;
   std::uint16_t port = 0;
   std::atomic<bool> stopping{ false };
   std::atomic<int> abandoned{ 0 };
-  mutable std::mutex mutex; ///< Guards what follows.
+  mutable std::mutex mutex; ///< Guards `requests` and `connections`.
   std::vector<std::string> requests;
   std::vector<std::thread> connections;
   std::thread acceptor;
--- a/UnitTests/Support/SharedLimit.h
+++ b/UnitTests/Support/SharedLimit.h
@@ -8,14 +8,15 @@
 
 namespace lagoonward::testing {
 
-/// One client's limit at several daemons that lend to each other, as their messages would have it, but at once.
+/// One client's limit on several daemons that grant tokens to each other, with the same calls as through messages but
+/// without delay.
 class SharedLimit
 {
 public:
-  /// Whether one daemon's request for a loan reaches another one.
+  /// Whether one daemon's token request reaches another daemon.
   using Reaches = std::function<bool(std::size_t aFrom, std::size_t aTo)>;
 
-  /// The last daemon keeps the primary reserve, the one before it the backup.
+  /// The last daemon holds the primary reserve, the one before it the backup.
   SharedLimit(std::size_t aDaemons, const PooledLimit& aLimit, TimePoint aNow)
     : buckets(aDaemons, PooledBucket({}, aNow))
   {
@@ -29,23 +30,24 @@
     }
   }
 
-  /// One daemon is asked for tokens, and borrows where it holds too few.
-  /// @return zero when they were taken, else the seconds after which they may be
+  /// Consumes tokens at one daemon, which first requests tokens from the reserves if it holds too few.
+  /// @return zero if the tokens were consumed, otherwise the seconds after which to retry
   double Take(std::size_t aDaemon, double aTokens, TimePoint aNow)
   {
     PooledBucket& bucket = this->buckets[aDaemon];
-    if (const auto wanted = bucket.WantedLoan(aTokens, aNow)) {
-      this->Borrow(aDaemon, *wanted, aNow);
+    if (const auto request = bucket.WantedLoan(aTokens, aNow)) {
+      this->RequestTokens(aDaemon, *request, aNow);
     }
     return bucket.Take(aTokens, aNow);
   }
 
   std::vector<PooledBucket> buckets;
-  std::vector<std::size_t> reserves; ///< Daemons that keep one, the primary first.
+  std::vector<std::size_t>
+    reserves; ///< Indices of the daemons that hold a reserve, the primary first.
   Reaches reaches = [](std::size_t, std::size_t) { return true; };
 
 private:
-  void Borrow(std::size_t aDaemon, const LoanRequest& aWanted, TimePoint aNow)
+  void RequestTokens(std::size_t aDaemon, const LoanRequest& aRequest, TimePoint aNow)
   {
     PooledBucket& bucket = this->buckets[aDaemon];
     bool isRefused = false;
@@ -53,12 +55,12 @@
       if (reserve == aDaemon || !this->reaches(aDaemon, reserve)) {
         continue;
       }
-      const Loan loan = this->buckets[reserve].Lend(aWanted, aNow);
-      isRefused = isRefused || loan.wait > 0;
-      if (loan.tokens > 0 || loan.wait > 0) {
-        bucket.OnLoan(loan, aWanted.need, aNow);
+      const Loan grant = this->buckets[reserve].Lend(aRequest, aNow);
+      isRefused = isRefused || grant.wait > 0;
+      if (grant.tokens > 0 || grant.wait > 0) {
+        bucket.OnLoan(grant, aRequest.need, aNow);
       }
-      if (loan.tokens > 0) {
+      if (grant.tokens > 0) {
         return;
       }
     }
