--- a/Fuzz/Decoders/CallFuzzer.cpp
+++ b/Fuzz/Decoders/CallFuzzer.cpp
@@ -26,7 +26,7 @@
   return configuration;
 }
 
-/// What is read is within limits; what is not has a kind that callers may get.
+/// An accepted request is within the limits; a rejected one has a 4xx error kind and did not run.
 void
 Check(const Result<CompletionRequest>& aResult)
 {
@@ -47,7 +47,7 @@
 
 } // namespace
 
-/// Callers' JSON bodies, as completions and as chats.
+/// Decodes callers' JSON bodies as completions and as chats.
 extern "C" int
 LLVMFuzzerTestOneInput(const std::uint8_t* aData, std::size_t aSize)
 {
--- a/Fuzz/Decoders/DatagramFuzzer.cpp
+++ b/Fuzz/Decoders/DatagramFuzzer.cpp
@@ -18,7 +18,7 @@
   return keys;
 }
 
-/// Whatever decodes must encode to what decodes to the same again.
+/// A decoded message must encode to bytes that decode to the same message.
 template<typename Message>
 void
 CheckRoundTrip(std::string_view aBytes)
@@ -41,13 +41,13 @@
 {
   const std::string_view bytes(reinterpret_cast<const char*>(aData), aSize);
 
-  // Nothing without the key gets through the whole decoders
+  // Input without a valid authentication tag must be rejected by the complete decoders
   if (OpenDatagram(Keys(), 1, bytes).has_value() ||
       OpenFrame(Keys(), { "0123456789abcdef", true, 0 }, bytes).has_value()) {
     std::abort();
   }
 
-  // The messages behind the tag, as if the tag had been right
+  // The message decoders, as if the tag had been valid
   CheckRoundTrip<Datagram>(bytes);
   CheckRoundTrip<Frame>(bytes);
   CheckRoundTrip<StateExchange>(bytes);
--- a/Fuzz/Decoders/EventStreamFuzzer.cpp
+++ b/Fuzz/Decoders/EventStreamFuzzer.cpp
@@ -14,21 +14,21 @@
 struct Outcome
 {
   std::vector<std::string> events;
-  bool usable = true;
+  bool valid = true;
 
   [[nodiscard]] bool operator==(const Outcome&) const = default;
 };
 
-/// Feeds the bytes in pieces of one size.
+/// Feeds the bytes to a reader in chunks of one size.
 Outcome
-ReadInPieces(std::string_view aBytes, std::size_t aPiece)
+ReadInChunks(std::string_view aBytes, std::size_t aChunkSize)
 {
   Outcome outcome;
   EventStreamReader reader(kLimit);
-  while (!aBytes.empty() && outcome.usable) {
-    const std::string_view piece = aBytes.substr(0, aPiece);
-    aBytes.remove_prefix(piece.size());
-    outcome.usable = reader.Consume(piece, [&](const StreamEvent& aEvent) {
+  while (!aBytes.empty() && outcome.valid) {
+    const std::string_view chunk = aBytes.substr(0, aChunkSize);
+    aBytes.remove_prefix(chunk.size());
+    outcome.valid = reader.Consume(chunk, [&](const StreamEvent& aEvent) {
       if (aEvent.data.size() > kLimit) {
         std::abort();
       }
@@ -41,15 +41,15 @@
 
 } // namespace
 
-/// The events do not depend on how the bytes arrive.
+/// The decoded events must not depend on the chunk sizes in which the bytes arrive.
 extern "C" int
 LLVMFuzzerTestOneInput(const std::uint8_t* aData, std::size_t aSize)
 {
   const std::string_view bytes(reinterpret_cast<const char*>(aData), aSize);
-  const Outcome whole = ReadInPieces(bytes, bytes.size() + 1);
-  for (const std::size_t piece : { 1U, 2U, 7U }) {
-    const Outcome pieces = ReadInPieces(bytes, piece);
-    if (pieces.usable && whole.usable && pieces.events != whole.events) {
+  const Outcome whole = ReadInChunks(bytes, bytes.size() + 1);
+  for (const std::size_t chunk : { 1U, 2U, 7U }) {
+    const Outcome chunked = ReadInChunks(bytes, chunk);
+    if (chunked.valid && whole.valid && chunked.events != whole.events) {
       std::abort();
     }
   }
--- a/Fuzz/Decoders/LoadFuzzer.cpp
+++ b/Fuzz/Decoders/LoadFuzzer.cpp
@@ -12,12 +12,12 @@
 
 constexpr std::uint64_t kGroup = 0;
 
-/// Whatever is told, no sum may name what cannot be.
+/// No sum may contain impossible values, such as negative counts or totals, whatever the reports contain.
 void
-CheckSums(LoadBook& aBook)
+CheckSums(LoadBook& aTable)
 {
-  const LoadSum sum = aBook.SumFor(1);
-  if (sum.demand.daemons < 0 || aBook.Heard() < 0) {
+  const LoadSum sum = aTable.SumFor(1);
+  if (sum.demand.daemons < 0 || aTable.Heard() < 0) {
     std::abort();
   }
   for (const ClientDemand& demand : sum.demand.demand) {
@@ -25,8 +25,8 @@
       std::abort();
     }
   }
-  // What is passed on can be read
-  const std::string bytes = EncodeMessage(aBook.GroupSum(true));
+  // The group sum must encode to a report that decodes
+  const std::string bytes = EncodeMessage(aTable.GroupSum(true));
   if (!DecodeMessage<GroupReport>(bytes).has_value()) {
     std::abort();
   }
@@ -34,25 +34,25 @@
 
 } // namespace
 
-/// Whatever daemons tell each other of crashes and permits, what follows from it stays within its bounds.
+/// Arbitrary messages on crashes and permits must not exceed the poison retention or the longest permit wait.
 void
 CheckShared(std::string_view aBytes, const Clock& aClock)
 {
-  PoisonGuard guard({}, aClock);
+  PoisonGuard filter({}, aClock);
   if (const auto report = DecodeMessage<CrashReport>(aBytes)) {
-    guard.OnToldCrash(report.value());
+    filter.OnToldCrash(report.value());
   }
   if (const auto sum = DecodeMessage<LoadSum>(aBytes)) {
-    guard.OnNotes(sum.value().poison);
+    filter.OnNotes(sum.value().poison);
   }
-  for (const PoisonNote& note : guard.Notes()) {
+  for (const PoisonNote& note : filter.Notes()) {
     if (Milliseconds(note.expiresIn) > PoisonSettings{}.poisonMemory) {
       std::abort();
     }
   }
-  PermitBook book({}, aClock);
+  PermitBook ledger({}, aClock);
   if (const auto request = DecodeMessage<PermitRequest>(aBytes)) {
-    const PermitReply reply = book.Serve(request.value(), ReserveRole::Primary, true);
+    const PermitReply reply = ledger.Serve(request.value(), ReserveRole::Primary, true);
     if (Milliseconds(reply.wait) > PermitSettings{}.longestWait) {
       std::abort();
     }
@@ -60,22 +60,22 @@
   static_cast<void>(DecodeMessage<PermitReply>(aBytes));
 }
 
-/// Reports of load as other daemons send them.
+/// Decodes load reports, crash reports and permit messages as other daemons send them.
 extern "C" int
 LLVMFuzzerTestOneInput(const std::uint8_t* aData, std::size_t aSize)
 {
   const std::string_view bytes(reinterpret_cast<const char*>(aData), aSize);
   const VirtualClock clock;
-  LoadBook book({}, 1, clock);
-  book.SetGroup(kGroup);
+  LoadBook table({}, 1, clock);
+  table.SetGroup(kGroup);
   if (const auto report = DecodeMessage<MemberReport>(bytes)) {
-    book.OnMember(report.value());
+    table.OnMember(report.value());
   }
   if (const auto report = DecodeMessage<GroupReport>(bytes)) {
-    static_cast<void>(book.OnGroup(report.value()));
+    static_cast<void>(table.OnGroup(report.value()));
   }
   static_cast<void>(DecodeMessage<LoadSum>(bytes));
-  CheckSums(book);
+  CheckSums(table);
   CheckShared(bytes, clock);
   return 0;
 }
--- a/Fuzz/Decoders/ManifestFuzzer.cpp
+++ b/Fuzz/Decoders/ManifestFuzzer.cpp
@@ -6,7 +6,7 @@
 
 using namespace lagoonward;
 
-/// A manifest, or every fault of it, but never both; what was read is written and read back alike.
+/// Reading gives either a manifest or its faults, never both; a manifest survives writing and reading unchanged.
 extern "C" int
 LLVMFuzzerTestOneInput(const std::uint8_t* aData, std::size_t aSize)
 {
--- a/Fuzz/Decoders/RecordFuzzer.cpp
+++ b/Fuzz/Decoders/RecordFuzzer.cpp
@@ -18,7 +18,7 @@
   }
 }
 
-/// A record or faults, but not both; what was read is written and read back alike.
+/// Reading gives either a record or faults, never both; a record survives writing and reading unchanged.
 template<typename Read, typename Write>
 void
 CheckRoundTrip(std::string_view aBytes, Read aRead, Write aWrite)
@@ -37,7 +37,7 @@
 
 } // namespace
 
-/// Every record that the daemon reads from the log, and offers of peers.
+/// Decodes every kind of record that the daemon reads from the log, and configuration offers of peers.
 extern "C" int
 LLVMFuzzerTestOneInput(const std::uint8_t* aData, std::size_t aSize)
 {
@@ -52,7 +52,7 @@
     &WriteConfigurationRecord);
   static_cast<void>(ReadOffer(bytes, "vestland"));
 
-  // Two records with foreign content in a row
+  // Two consecutive records with arbitrary content
   LeaseLedger ledger;
   ledger.ObserveStart(static_cast<Offset>(aSize % 3));
   ledger.Apply(5, bytes);
--- a/Fuzz/Stateful/ClaimHarness.cpp
+++ b/Fuzz/Stateful/ClaimHarness.cpp
@@ -51,7 +51,7 @@
   aDaemon.batcher->Submit(claim, this->clock.BootNow() + this->settings.claimTimeout, onAnswer);
 }
 
-/// Sends the oldest submission that has won.
+/// Dispatches the oldest submission that has won its claim and was not dispatched.
 void
 ClaimHarness::Dispatch(Daemon& aDaemon)
 {
@@ -68,9 +68,10 @@
   }
 }
 
-/// The caller has gone, or its deadline is over: refused as not run, and the key is freed.
+/// Refuses the oldest open submission as not run and frees its key, as for a caller that disconnected or whose
+/// deadline passed.
 void
-ClaimHarness::GiveUp(Daemon& aDaemon)
+ClaimHarness::CancelOldest(Daemon& aDaemon)
 {
   for (const auto& submission : aDaemon.submissions) {
     if (submission->refused || !submission->ticket->Close()) {
@@ -120,7 +121,7 @@
       this->Dispatch(daemon);
       break;
     case 9:
-      this->GiveUp(daemon);
+      this->CancelOldest(daemon);
       break;
     default:
       this->unreadable = !this->unreadable;
@@ -132,7 +133,7 @@
 void
 ClaimHarness::Finish()
 {
-  // With the log back, every claim is answered, and what has won may still be sent
+  // Once the log is available again, every claim must be answered; submissions that won may still be dispatched
   this->log.SetDown(false);
   this->log.SetUnreadable(false);
   this->log.DeliverLate();
--- a/Fuzz/Stateful/ClaimHarness.h
+++ b/Fuzz/Stateful/ClaimHarness.h
@@ -12,8 +12,8 @@
 
 namespace lagoonward::fuzz {
 
-/// ClaimBatcher and ClaimTicket of three daemons over one log. The oracle: a key runs at most once; a
-/// submission that was refused as not run never runs; each claim is answered once.
+/// Tests ClaimBatcher and ClaimTicket of three daemons over one log. The oracle checks that a key runs at most once,
+/// that a submission refused as not run never runs, and that each claim is answered exactly once.
 class ClaimHarness
 {
 public:
@@ -40,7 +40,7 @@
     bool ran = false;
   };
 
-  /// One daemon. A crash drops its batcher and forgets its submissions.
+  /// One daemon. A crash discards its batcher and its submissions.
   struct Daemon
   {
     std::string run;
@@ -52,7 +52,7 @@
   void Restart(int aActor);
   void Submit(Daemon& aDaemon, int aKey);
   void Dispatch(Daemon& aDaemon);
-  void GiveUp(Daemon& aDaemon);
+  void CancelOldest(Daemon& aDaemon);
 
   static constexpr int kKeys = 2;
 
@@ -64,7 +64,7 @@
   bool unreadable = false;
   int runs = 0;
   std::array<Daemon, kActors> daemons;
-  std::map<int, int> dispatches; ///< By key.
+  std::map<int, int> dispatches; ///< Number of dispatches by key.
 };
 
 } // namespace lagoonward::fuzz
--- a/Fuzz/Stateful/ConfigurationHarness.cpp
+++ b/Fuzz/Stateful/ConfigurationHarness.cpp
@@ -28,14 +28,15 @@
 ConfigurationHarness::Restart(int aActor)
 {
   this->readers[aActor].history = std::make_unique<ConfigurationHistory>(std::string(kMarket));
-  this->readers[aActor].highest = kNoOffset;
+  this->readers[aActor].highestInForce = kNoOffset;
 }
 
 void
-ConfigurationHarness::Append(std::string aText, bool aCounts)
+ConfigurationHarness::Append(std::string aText, bool aTakesEffect)
 {
-  const Offset before = this->truth.empty() ? kNoOffset : this->truth.back();
-  this->truth.push_back(aCounts ? static_cast<Offset>(this->records.size()) : before);
+  const Offset before = this->expectedInForce.empty() ? kNoOffset : this->expectedInForce.back();
+  this->expectedInForce.push_back(aTakesEffect ? static_cast<Offset>(this->records.size())
+                                               : before);
   this->records.push_back(std::move(aText));
 }
 
@@ -46,7 +47,7 @@
   record.base = aBase;
   record.manifest = AnyManifest();
   record.publisher = { "publisher", ++this->sequence };
-  const Offset before = this->truth.empty() ? kNoOffset : this->truth.back();
+  const Offset before = this->expectedInForce.empty() ? kNoOffset : this->expectedInForce.back();
   this->Append(WriteConfigurationRecord(record), aBase == before);
 }
 
@@ -68,14 +69,14 @@
 ConfigurationHarness::Check(Reader& aReader) const
 {
   const ConfigurationHistory& history = *aReader.history;
-  RC_ASSERT(history.OffsetInForce() >= aReader.highest);
-  aReader.highest = history.OffsetInForce();
+  RC_ASSERT(history.OffsetInForce() >= aReader.highestInForce);
+  aReader.highestInForce = history.OffsetInForce();
   if (!history.IsCertain()) {
     return;
   }
   const Offset next = history.NextOffset();
   RC_ASSERT(next <= static_cast<Offset>(this->records.size()));
-  RC_ASSERT(history.OffsetInForce() == (next == 0 ? kNoOffset : this->truth[next - 1]));
+  RC_ASSERT(history.OffsetInForce() == (next == 0 ? kNoOffset : this->expectedInForce[next - 1]));
 }
 
 void
@@ -124,7 +125,7 @@
 void
 ConfigurationHarness::Finish()
 {
-  // Once all have read a checkpoint of a certain reader, all hold the same
+  // Once all readers have read a checkpoint written by a certain reader, all have the same configuration in force
   const auto certain =
     std::find_if(this->readers.begin(), this->readers.end(), [&](const Reader& aReader) {
       return aReader.history->IsCertain() && aReader.history->NextOffset() >= this->start;
@@ -141,7 +142,7 @@
   for (Reader& reader : this->readers) {
     this->Read(reader, 1);
     RC_ASSERT(reader.history->IsCertain());
-    RC_ASSERT(reader.history->OffsetInForce() == this->truth.back());
+    RC_ASSERT(reader.history->OffsetInForce() == this->expectedInForce.back());
   }
 }
 
--- a/Fuzz/Stateful/Harness.h
+++ b/Fuzz/Stateful/Harness.h
@@ -10,8 +10,8 @@
 
 namespace lagoonward::fuzz {
 
-/// One step of a test: which operation, who does it, and one number that the operation reads as it
-/// likes. Every operation is possible in every state, so that any part of a sequence is a sequence.
+/// One step of a test: the operation, the actor that executes it, and a number whose meaning depends on the operation.
+/// Every operation is valid in every state, so that any subsequence is valid and sequences can be shrunk.
 struct Operation
 {
   int kind = 0;
@@ -19,8 +19,8 @@
   int argument = 0;
 };
 
-/// The real modules beside a simple oracle. A new one is made for each sequence; the oracle speaks up
-/// through RC_ASSERT and RC_FAIL.
+/// A harness runs production modules together with a simple oracle. A new harness is constructed for each sequence;
+/// the oracle reports violations through RC_ASSERT and RC_FAIL.
 template<typename Candidate>
 concept StatefulHarness = requires(Candidate aHarness, const Operation& aOperation)
 {
@@ -31,7 +31,7 @@
     Candidate::kOperations[0]
     } -> std::convertible_to<std::string_view>;
   aHarness.Run(aOperation);
-  aHarness.Finish(); ///< Faults are over: whatever must happen in the end is checked here.
+  aHarness.Finish(); ///< Ends all faults, then checks the conditions that must hold eventually.
 };
 
 /// Result of one harness.
@@ -39,13 +39,13 @@
 {
   bool passed = false;
   std::uint64_t sequences = 0;
-  std::uint64_t operations = 0; ///< Shrinking included.
+  std::uint64_t operations = 0; ///< Including those run while shrinking.
 };
 
 inline constexpr int kActors = 3;
 inline constexpr int kLargestArgument = 63;
 
-/// A sequence of one harness, which prints itself by the names of its operations.
+/// A sequence of operations for one harness. showValue() prints the operations by name.
 template<StatefulHarness Harness>
 struct Sequence
 {
@@ -63,7 +63,7 @@
   }
 }
 
-/// The kinds of operations, each as often as `Harness::kWeights` says; once each without weights.
+/// Indices of the harness's operations, each repeated `Harness::kWeights` times; once each without weights.
 template<StatefulHarness Harness>
 std::vector<int>
 WeightedKinds()
@@ -92,8 +92,7 @@
     [](std::vector<Operation> aOperations) { return Sequence<Harness>{ std::move(aOperations) }; });
 }
 
-/// Runs one harness over the number of cases that was configured. Prints the shortest failing
-/// sequence.
+/// Runs one harness for the configured number of cases. Prints the shortest failing sequence.
 template<StatefulHarness Harness>
 HarnessReport
 RunHarness()
--- a/Fuzz/Stateful/LeaseHarness.cpp
+++ b/Fuzz/Stateful/LeaseHarness.cpp
@@ -25,25 +25,25 @@
 {
   Daemon& daemon = this->daemons[aActor];
   daemon.run = "run-" + std::to_string(this->runs++);
-  daemon.keeper = std::make_unique<LeaseKeeper>(this->settings, this->clock,
-                                                "d-" + std::to_string(aActor), daemon.run);
-  daemon.keeper->SetRank(aActor);
+  daemon.manager = std::make_unique<LeaseKeeper>(this->settings, this->clock,
+                                                 "d-" + std::to_string(aActor), daemon.run);
+  daemon.manager->SetRank(aActor);
 }
 
 void
 LeaseHarness::Read(Daemon& aDaemon)
 {
   const auto page =
-    this->log.Read(this->stream, aDaemon.keeper->NextOffset(), kPageLimit, Milliseconds(0));
+    this->log.Read(this->stream, aDaemon.manager->NextOffset(), kPageLimit, Milliseconds(0));
   if (page) {
-    aDaemon.keeper->ObservePage(page.value());
+    aDaemon.manager->ObservePage(page.value());
   }
 }
 
 void
 LeaseHarness::Append(Daemon& aDaemon)
 {
-  if (const auto record = aDaemon.keeper->NextAppend()) {
+  if (const auto record = aDaemon.manager->NextAppend()) {
     static_cast<void>(this->log.Append(this->stream, *record));
   }
 }
@@ -57,69 +57,70 @@
 }
 
 LeaseHarness::Daemon*
-LeaseHarness::Holder()
+LeaseHarness::FindHolder()
 {
   const auto found = std::find_if(this->daemons.begin(), this->daemons.end(),
-                                  [](const Daemon& aDaemon) { return aDaemon.keeper->Holds(); });
+                                  [](const Daemon& aDaemon) { return aDaemon.manager->Holds(); });
   return found == this->daemons.end() ? nullptr : &*found;
 }
 
-/// A daemon that has led and has seen no successor, its lease lapsed or not.
+/// Returns a daemon that has held the lease and has seen no successor, whether its lease has expired or not.
 const LeaseHarness::Daemon*
-LeaseHarness::LastHolder() const
+LeaseHarness::FindLatestHolder() const
 {
   const auto found =
     std::find_if(this->daemons.begin(), this->daemons.end(), [](const Daemon& aDaemon) {
-      return aDaemon.keeper->Authorize(OrderKind::Load, true).has_value();
+      return aDaemon.manager->Authorize(OrderKind::Load, true).has_value();
     });
   return found == this->daemons.end() ? nullptr : &*found;
 }
 
-/// The last moment of the lease, where orders are about to be late.
+/// Advances time to 1 ms before the end of the lease, so that orders sent now arrive close to their latest time.
 void
-LeaseHarness::PassToLeaseEnd()
+LeaseHarness::AdvanceToLeaseEnd()
 {
-  const Daemon* holder = this->Holder();
+  const Daemon* holder = this->FindHolder();
   if (holder == nullptr) {
     return;
   }
-  const auto grant = holder->keeper->Authorize(OrderKind::Load, false);
+  const auto grant = holder->manager->Authorize(OrderKind::Load, false);
   const auto left = grant.value().sendBy - this->clock.BootNow() - Milliseconds(1);
   if (left > Milliseconds::zero()) {
-    this->Pass(std::chrono::duration_cast<Milliseconds>(left), false);
+    this->AdvanceTime(std::chrono::duration_cast<Milliseconds>(left), false);
   }
 }
 
-/// Orders may overtake each other.
+/// Delivers the order that was sent last, so that orders can overtake each other.
 void
-LeaseHarness::ArriveNewest()
+LeaseHarness::DeliverNewestOrder()
 {
   Daemon* newest = nullptr;
   for (Daemon& daemon : this->daemons) {
-    const bool later =
+    const bool isNewer =
       daemon.order && (newest == nullptr || daemon.order->sentAt > newest->order->sentAt);
-    newest = later ? &daemon : newest;
+    newest = isNewer ? &daemon : newest;
   }
   if (newest != nullptr) {
-    this->Arrive(*newest);
+    this->DeliverOrder(*newest);
   }
 }
 
 void
-LeaseHarness::Look(Daemon& aDaemon, int aArgument)
+LeaseHarness::SendOrder(Daemon& aDaemon, int aArgument)
 {
   const bool checked = aArgument % 2 == 0;
-  const auto grant = aDaemon.keeper->Authorize(OrderKind::Load, checked);
+  const auto grant = aDaemon.manager->Authorize(OrderKind::Load, checked);
   if (!grant || aDaemon.order) {
     return;
   }
-  const auto [owner, added] = this->ownerOfNumber.try_emplace(grant.value().fencing, aDaemon.run);
+  const auto [owner, added] =
+    this->runOfFencingNumber.try_emplace(grant.value().fencing, aDaemon.run);
   RC_ASSERT(owner->second == aDaemon.run);
   aDaemon.order = Order{ grant.value().fencing, this->clock.BootNow(), checked };
 }
 
 void
-LeaseHarness::Arrive(Daemon& aDaemon)
+LeaseHarness::DeliverOrder(Daemon& aDaemon)
 {
   if (!aDaemon.order) {
     return;
@@ -127,7 +128,7 @@
   const Order order = *aDaemon.order;
   aDaemon.order.reset();
   if (order.checked) {
-    // The engine refuses what is older than what it has
+    // The engine refuses orders with a fencing number older than the highest it has received
     this->highestChecked = std::max(this->highestChecked, order.fencing);
     return;
   }
@@ -135,16 +136,16 @@
   this->highestUnchecked = order.fencing;
 }
 
-/// Lets time pass. Orders to an engine that does not check arrive within the handover time.
+/// Advances time. Orders to an engine that does not check fencing numbers are delivered within the handover time.
 void
-LeaseHarness::Pass(Milliseconds aSpan, bool aSuspended)
+LeaseHarness::AdvanceTime(Milliseconds aSpan, bool aSuspended)
 {
   for (Daemon& daemon : this->daemons) {
     const bool due =
       daemon.order && !daemon.order->checked &&
       daemon.order->sentAt + this->settings.handover <= this->clock.BootNow() + aSpan;
     if (due) {
-      this->Arrive(daemon);
+      this->DeliverOrder(daemon);
     }
   }
   if (aSuspended) {
@@ -159,12 +160,12 @@
 {
   int holders = 0;
   for (const Daemon& daemon : this->daemons) {
-    holders += daemon.keeper->Holds() ? 1 : 0;
-    // Two daemons that read equally far agree
+    holders += daemon.manager->Holds() ? 1 : 0;
+    // Two daemons that have read up to the same offset must agree on the leader
     for (const Daemon& other : this->daemons) {
-      const bool comparable = daemon.keeper->NextOffset() == other.keeper->NextOffset() &&
-                              !daemon.keeper->Leader().empty() && !other.keeper->Leader().empty();
-      RC_ASSERT(!comparable || daemon.keeper->Leader() == other.keeper->Leader());
+      const bool comparable = daemon.manager->NextOffset() == other.manager->NextOffset() &&
+                              !daemon.manager->Leader().empty() && !other.manager->Leader().empty();
+      RC_ASSERT(!comparable || daemon.manager->Leader() == other.manager->Leader());
     }
   }
   RC_ASSERT(holders <= 1);
@@ -190,10 +191,10 @@
       this->log.DeliverLate();
       break;
     case 4:
-      this->Pass(Milliseconds(4 * aOperation.argument * aOperation.argument), false);
+      this->AdvanceTime(Milliseconds(4 * aOperation.argument * aOperation.argument), false);
       break;
     case 5:
-      this->Pass(Milliseconds(8 * aOperation.argument * aOperation.argument), true);
+      this->AdvanceTime(Milliseconds(8 * aOperation.argument * aOperation.argument), true);
       break;
     case 6:
       this->Restart(aOperation.actor);
@@ -208,14 +209,14 @@
       break;
     }
     case 9:
-      this->Look(daemon, aOperation.argument);
+      this->SendOrder(daemon, aOperation.argument);
       break;
     case 10:
-      this->Arrive(daemon);
+      this->DeliverOrder(daemon);
       break;
     case 11: {
-      // With an odd argument the holder is paused meanwhile
-      const Daemon* paused = aOperation.argument % 2 == 0 ? nullptr : this->LastHolder();
+      // With an odd argument the latest holder is paused during this step
+      const Daemon* paused = aOperation.argument % 2 == 0 ? nullptr : this->FindLatestHolder();
       for (Daemon& each : this->daemons) {
         if (&each != paused) {
           this->Step(each);
@@ -224,18 +225,18 @@
       break;
     }
     case 12:
-      this->PassToLeaseEnd();
+      this->AdvanceToLeaseEnd();
       break;
     case 13:
-      if (Daemon* holder = this->Holder()) {
-        this->Look(*holder, aOperation.argument);
+      if (Daemon* holder = this->FindHolder()) {
+        this->SendOrder(*holder, aOperation.argument);
       }
       break;
     case 14:
-      this->ArriveNewest();
+      this->DeliverNewestOrder();
       break;
     default:
-      daemon.keeper->Resign();
+      daemon.manager->Resign();
       break;
   }
   this->CheckHolders();
@@ -244,7 +245,7 @@
 void
 LeaseHarness::Finish()
 {
-  // With the log back, some daemon leads in the end, even if all had to begin anew
+  // Once the log is available again, exactly one daemon must lead, even after a restart of all
   this->log.SetDown(false);
   this->log.FailAppends({});
   for (int actor = 0; actor < kActors; ++actor) {
@@ -255,11 +256,11 @@
     for (int actor = 0; actor < kActors; ++actor) {
       this->Run({ 0, actor, 0 });
     }
-    this->Pass(Milliseconds(1'000), false);
+    this->AdvanceTime(Milliseconds(1'000), false);
   }
   int holders = 0;
   for (const Daemon& daemon : this->daemons) {
-    holders += daemon.keeper->Holds() ? 1 : 0;
+    holders += daemon.manager->Holds() ? 1 : 0;
   }
   RC_ASSERT(holders == 1);
 }
--- a/Fuzz/Stateful/LeaseHarness.h
+++ b/Fuzz/Stateful/LeaseHarness.h
@@ -11,9 +11,10 @@
 
 namespace lagoonward::fuzz {
 
-/// LeaseKeeper of three daemons over one log. The oracle: at most one holds the lease at any moment; an
-/// engine that checks never obeys an older tenure after a newer one; nor does one that does not check,
-/// while its orders arrive within the handover time; no two daemons share a fencing number.
+/// Tests LeaseKeeper of three daemons over one log. The oracle checks that at most one daemon holds the lease at any
+/// moment; that an engine that checks fencing numbers never executes an order of an older tenure after one of a newer
+/// tenure; that the same is true for an engine that does not check them, as long as orders arrive within the handover
+/// time; and that no two daemons have the same fencing number.
 class LeaseHarness
 {
 public:
@@ -28,16 +29,16 @@
     "restart",
     "log down or up",
     "drop records",
-    "look and order",
+    "authorize and send order",
     "order arrives",
     "all step",
-    "to the lease's end",
-    "holder orders",
+    "advance to the lease's end",
+    "holder sends order",
     "newest order arrives",
     "resign",
   };
 
-  /// Faults are rare enough that tenures, pauses and orders meet between them.
+  /// Faults are rare enough that tenures, pauses and orders coincide between them.
   static constexpr std::array<int, 16> kWeights{ 6, 3, 2, 2, 4, 3, 1, 1, 1, 8, 4, 2, 6, 6, 6, 1 };
 
   LeaseHarness();
@@ -56,22 +57,22 @@
   /// One daemon.
   struct Daemon
   {
-    std::unique_ptr<LeaseKeeper> keeper;
-    std::string run; ///< Names this run of it.
+    std::unique_ptr<LeaseKeeper> manager;
+    std::string run; ///< Unique name of this run of the daemon.
     std::optional<Order> order;
   };
 
   void Restart(int aActor);
   void Step(Daemon& aDaemon);
-  [[nodiscard]] Daemon* Holder();
-  [[nodiscard]] const Daemon* LastHolder() const;
-  void PassToLeaseEnd();
-  void ArriveNewest();
+  [[nodiscard]] Daemon* FindHolder();
+  [[nodiscard]] const Daemon* FindLatestHolder() const;
+  void AdvanceToLeaseEnd();
+  void DeliverNewestOrder();
   void Read(Daemon& aDaemon);
   void Append(Daemon& aDaemon);
-  void Look(Daemon& aDaemon, int aArgument);
-  void Arrive(Daemon& aDaemon);
-  void Pass(Milliseconds aSpan, bool aSuspended);
+  void SendOrder(Daemon& aDaemon, int aArgument);
+  void DeliverOrder(Daemon& aDaemon);
+  void AdvanceTime(Milliseconds aSpan, bool aSuspended);
   void CheckHolders() const;
 
   VirtualClock clock;
@@ -81,7 +82,7 @@
   bool down = false;
   int runs = 0;
   std::array<Daemon, kActors> daemons;
-  std::map<Offset, std::string> ownerOfNumber;
+  std::map<Offset, std::string> runOfFencingNumber;
   Offset highestChecked = kNoOffset;
   Offset highestUnchecked = kNoOffset;
 };
--- a/Fuzz/Stateful/Main.cpp
+++ b/Fuzz/Stateful/Main.cpp
@@ -15,9 +15,10 @@
 
 constexpr int kExitUsage = 2;
 constexpr int kDefaultCases = 200;
-constexpr int kLongestSequence = 150; ///< Operations; sequences grow up to it over the cases.
+constexpr int kLongestSequence =
+  150; ///< In operations; sequences grow up to this length over the cases.
 
-/// A harness by its name.
+/// A harness with its name.
 struct Entry
 {
   std::string_view name;
@@ -26,17 +27,17 @@
 
 template<StatefulHarness Harness>
 constexpr Entry
-EntryOf()
+MakeEntry()
 {
   return { Harness::kName, &RunHarness<Harness> };
 }
 
 constexpr std::array kHarnesses{
-  EntryOf<LeaseHarness>(),   EntryOf<ClaimHarness>(),     EntryOf<ConfigurationHarness>(),
-  EntryOf<ReclaimHarness>(), EntryOf<PlacementHarness>(),
+  MakeEntry<LeaseHarness>(),   MakeEntry<ClaimHarness>(),     MakeEntry<ConfigurationHarness>(),
+  MakeEntry<ReclaimHarness>(), MakeEntry<PlacementHarness>(),
 };
 
-/// rapidcheck reads its parameters from the environment, once.
+/// Sets RC_PARAMS. rapidcheck reads its parameters from the environment once, so this must precede the first check.
 void
 Configure(std::uint64_t aSeed, int aCases)
 {
--- a/Fuzz/Stateful/PlacementHarness.cpp
+++ b/Fuzz/Stateful/PlacementHarness.cpp
@@ -17,11 +17,11 @@
     this->fleet.prices.push_back({ "large", name, false, 3 });
   }
   this->manifest.models = { { "permit", "1", {}, 2 } };
-  this->Lead();
+  this->ReplaceLeader();
 }
 
 void
-PlacementHarness::Lead()
+PlacementHarness::ReplaceLeader()
 {
   this->placement =
     std::make_unique<Placement>(this->settings, "utslipp", "vestland", this->clock.Now());
@@ -35,7 +35,7 @@
   return found == this->fleet.endpoints.end() ? nullptr : &*found;
 }
 
-/// Live endpoints that have the version, by domain.
+/// Counts the live endpoints that have the version loaded, by failure domain.
 DomainCoverage
 PlacementHarness::Coverage(const std::string& aVersion) const
 {
@@ -57,7 +57,7 @@
 {
   if (aOrder.kind == Kind::StartHost) {
     const bool repeated = this->hostOfToken.count(aOrder.id) > 0;
-    RC_ASSERT(repeated || this->goingDomains.count(aOrder.host.failureDomain) == 0 ||
+    RC_ASSERT(repeated || this->leavingDomains.count(aOrder.host.failureDomain) == 0 ||
               aOrder.reason == "its answer has not come");
     return;
   }
@@ -82,18 +82,18 @@
   }
 }
 
-/// The cloud: one host for each token.
+/// Starts a host as the cloud does: one host per token, also if the order is repeated.
 void
-PlacementHarness::ObeyStart(const PlacementOrder& aOrder, Fate aFate)
+PlacementHarness::ExecuteStart(const PlacementOrder& aOrder, OrderOutcome aOutcome)
 {
-  if (aFate == Fate::Refused) {
+  if (aOutcome == OrderOutcome::Refused) {
     this->placement->HostRefused(aOrder.id, this->clock.Now());
     return;
   }
   const auto [host, isNew] =
-    this->hostOfToken.try_emplace(aOrder.id, "h-" + std::to_string(this->hosts));
+    this->hostOfToken.try_emplace(aOrder.id, "h-" + std::to_string(this->startedHosts));
   if (isNew) {
-    ++this->hosts;
+    ++this->startedHosts;
     Endpoint endpoint;
     endpoint.id = host->second;
     endpoint.failureDomain = aOrder.host.failureDomain;
@@ -103,22 +103,22 @@
     endpoint.load->asOf = this->clock.WallNow();
     this->fleet.endpoints.push_back(endpoint);
   }
-  if (aFate != Fate::AnswerLost) {
+  if (aOutcome != OrderOutcome::AnswerLost) {
     this->placement->HostStarted(aOrder.id, host->second, this->clock.Now());
   }
 }
 
 void
-PlacementHarness::Obey(const PlacementOrder& aOrder, Fate aFate)
+PlacementHarness::ExecuteOrder(const PlacementOrder& aOrder, OrderOutcome aOutcome)
 {
-  if (aFate == Fate::Lost) {
+  if (aOutcome == OrderOutcome::Lost) {
     return;
   }
   if (aOrder.kind == Kind::StartHost) {
-    this->ObeyStart(aOrder, aFate);
+    this->ExecuteStart(aOrder, aOutcome);
     return;
   }
-  if (aFate == Fate::Refused) {
+  if (aOutcome == OrderOutcome::Refused) {
     this->placement->OrderRefused(aOrder, this->clock.Now());
     return;
   }
@@ -136,7 +136,7 @@
 }
 
 void
-PlacementHarness::Reconcile(Fate aFate)
+PlacementHarness::Reconcile(OrderOutcome aOutcome)
 {
   const PlacementView view{ this->manifest, this->offset, this->fleet, {}, {} };
   const auto orders = this->placement->Reconcile(view, this->clock.Now(), this->clock.WallNow());
@@ -144,14 +144,14 @@
     this->CheckOrder(order);
   }
   for (const PlacementOrder& order : orders) {
-    this->Obey(order, aFate);
+    this->ExecuteOrder(order, aOutcome);
   }
   this->lastOrders = orders.size();
 }
 
-/// Endpoints report anew; hosts of a going domain go.
+/// All endpoints report their load with the current time.
 void
-PlacementHarness::Refresh()
+PlacementHarness::RefreshLoads()
 {
   for (Endpoint& endpoint : this->fleet.endpoints) {
     endpoint.load->asOf = this->clock.WallNow();
@@ -166,14 +166,14 @@
     case 1:
     case 2:
     case 3:
-      this->Reconcile(static_cast<Fate>(aOperation.kind));
+      this->Reconcile(static_cast<OrderOutcome>(aOperation.kind));
       break;
     case 4:
       this->clock.Advance(Seconds(aOperation.argument));
-      this->Refresh();
+      this->RefreshLoads();
       break;
     case 5:
-      this->Lead();
+      this->ReplaceLeader();
       break;
     case 6:
       if (!this->fleet.endpoints.empty()) {
@@ -187,7 +187,7 @@
       for (Endpoint& endpoint : this->fleet.endpoints) {
         if (endpoint.failureDomain == domain) {
           endpoint.state = EndpointState::Leaving;
-          this->goingDomains.insert(domain);
+          this->leavingDomains.insert(domain);
         }
       }
       break;
@@ -210,8 +210,8 @@
       ++this->offset;
       break;
   }
-  // A notice ends with the hosts that had it
-  std::erase_if(this->goingDomains, [&](const std::string& aDomain) {
+  // A domain's notice ends when none of its hosts is leaving any more
+  std::erase_if(this->leavingDomains, [&](const std::string& aDomain) {
     return std::none_of(
       this->fleet.endpoints.begin(), this->fleet.endpoints.end(), [&](const Endpoint& aEndpoint) {
         return aEndpoint.failureDomain == aDomain && aEndpoint.state == EndpointState::Leaving;
@@ -222,24 +222,24 @@
 void
 PlacementHarness::Finish()
 {
-  // The leaving hosts go, faults are over
+  // The leaving hosts terminate, and no more faults occur
   std::erase_if(this->fleet.endpoints, [](const Endpoint& aEndpoint) {
     return aEndpoint.state == EndpointState::Leaving;
   });
-  this->goingDomains.clear();
-  const auto before = this->hosts;
+  this->leavingDomains.clear();
+  const auto before = this->startedHosts;
   constexpr int kRounds = 240;
   for (int round = 0; round < kRounds; ++round) {
     this->clock.Advance(Seconds(10));
-    this->Refresh();
-    this->Reconcile(Fate::Obeyed);
+    this->RefreshLoads();
+    this->Reconcile(OrderOutcome::Executed);
   }
   const ManifestModel& wanted = this->manifest.models.front();
   RC_ASSERT(this->Coverage(wanted.version).Survivors(kDomains) >= wanted.minEndpoints);
   RC_ASSERT(this->lastOrders == 0U);
 
-  // One more than the minimum in each domain would do for any spread
-  RC_ASSERT(this->hosts - before <= 2 * wanted.minEndpoints + kDomains);
+  // One endpoint more than the minimum per domain suffices for any distribution of endpoints over the domains
+  RC_ASSERT(this->startedHosts - before <= 2 * wanted.minEndpoints + kDomains);
   for (const Endpoint& endpoint : this->fleet.endpoints) {
     for (const LoadedModel& model : endpoint.load->models) {
       RC_ASSERT(model.version == wanted.version);
--- a/Fuzz/Stateful/PlacementHarness.h
+++ b/Fuzz/Stateful/PlacementHarness.h
@@ -11,28 +11,28 @@
 
 namespace lagoonward::fuzz {
 
-/// Placement before a cloud and engines that refuse, lose answers, are late and go away, with leaders
-/// that are replaced. The oracle: a token starts one host and no host is started beyond what the
-/// manifest needs; nothing is ordered from a leaving endpoint or started in a going domain; a version
-/// is unloaded only while its replacement is loaded widely enough; in the end the fleet meets the
-/// manifest, survives the loss of any domain, and is left alone.
+/// Tests Placement with a cloud and engines that refuse orders, lose answers, respond late and terminate, while leaders
+/// are replaced. The oracle checks that a token starts one host and that no more hosts are started than the manifest
+/// requires; that no order goes to a leaving endpoint and no host is started in a leaving domain; that a version is
+/// unloaded only while its replacement is loaded on enough endpoints; and that finally the fleet satisfies the
+/// manifest, also after the loss of any one domain, and gets no further orders.
 class PlacementHarness
 {
 public:
   static constexpr std::string_view kName = "placement and orders";
   static constexpr std::array<std::string_view, 12> kOperations{
-    "reconcile, obey",
+    "reconcile, execute orders",
     "reconcile, lose orders",
     "reconcile, refuse orders",
     "reconcile, lose answers",
     "advance time",
     "new leader",
-    "host dies",
+    "host crashes",
     "notice to a domain",
     "new version",
-    "prices move",
+    "prices change",
     "weight store delays",
-    "other minimum",
+    "change minimum endpoints",
   };
 
   PlacementHarness();
@@ -40,21 +40,21 @@
   void Finish();
 
 private:
-  /// What happens to the orders of one round.
-  enum class Fate
+  /// Outcome of the orders of one round.
+  enum class OrderOutcome
   {
-    Obeyed,
-    Lost,       ///< Never arrive.
-    Refused,    ///< Refused by who gets them.
-    AnswerLost, ///< Obeyed, and nobody learns of it.
+    Executed,
+    Lost,       ///< The orders never arrive.
+    Refused,    ///< The recipients refuse the orders.
+    AnswerLost, ///< The orders are executed, but the answers are lost.
   };
 
-  void Reconcile(Fate aFate);
+  void Reconcile(OrderOutcome aOutcome);
   void CheckOrder(const PlacementOrder& aOrder) const;
-  void Obey(const PlacementOrder& aOrder, Fate aFate);
-  void ObeyStart(const PlacementOrder& aOrder, Fate aFate);
-  void Refresh();
-  void Lead();
+  void ExecuteOrder(const PlacementOrder& aOrder, OrderOutcome aOutcome);
+  void ExecuteStart(const PlacementOrder& aOrder, OrderOutcome aOutcome);
+  void RefreshLoads();
+  void ReplaceLeader();
   [[nodiscard]] Endpoint* Find(const std::string& aId);
   [[nodiscard]] DomainCoverage Coverage(const std::string& aVersion) const;
 
@@ -67,10 +67,10 @@
   FleetSnapshot fleet;
   std::unique_ptr<Placement> placement;
   std::map<std::string, std::string> hostOfToken;
-  std::set<std::string> goingDomains;
-  int hosts = 0;
+  std::set<std::string> leavingDomains;
+  int startedHosts = 0;
   int version = 1;
-  std::size_t lastOrders = 0; ///< Of the last round.
+  std::size_t lastOrders = 0; ///< Number of orders of the last round.
 };
 
 } // namespace lagoonward::fuzz
--- a/Fuzz/Stateful/ReclaimHarness.cpp
+++ b/Fuzz/Stateful/ReclaimHarness.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr int kDomains = 3;
-constexpr double kLink = 1e9;
+constexpr double kLinkBytesPerSecond = 1e9;
 constexpr double kBytesPerToken = 131'072;
 
 } // namespace
@@ -26,9 +26,9 @@
 {
   Host host;
   host.domain = aDomain;
-  host.target.endpoint = "h-" + std::to_string(this->named++);
+  host.target.endpoint = "h-" + std::to_string(this->nextName++);
   host.target.failureDomain = std::to_string(aDomain);
-  host.target.importBytesPerSecond = kLink;
+  host.target.importBytesPerSecond = kLinkBytesPerSecond;
   this->hosts.push_back(host);
 }
 
@@ -48,7 +48,7 @@
 }
 
 int
-ReclaimHarness::Running(const std::string& aEndpoint) const
+ReclaimHarness::RunningStreams(const std::string& aEndpoint) const
 {
   const auto count =
     std::count_if(this->streams.begin(), this->streams.end(),
@@ -60,23 +60,23 @@
 ReclaimHarness::AddStream(const Operation& aOperation)
 {
   const Host& host = this->hosts[aOperation.argument % this->hosts.size()];
-  if (host.target.leaving || this->Running(host.target.endpoint) >= kSlots) {
+  if (host.target.leaving || this->RunningStreams(host.target.endpoint) >= kSlots) {
     return;
   }
   StreamView stream;
-  stream.id = "s-" + std::to_string(this->named++);
+  stream.id = "s-" + std::to_string(this->nextName++);
   stream.endpoint = host.target.endpoint;
   stream.goneAfter = TimePoint::max();
   stream.promptTokens = 100 + 500 * aOperation.argument;
   stream.expectedRemaining = 20 + 60.0 * aOperation.argument;
   stream.deadline = this->clock.Now() + std::chrono::minutes(5);
   stream.kvBytes = static_cast<std::int64_t>(stream.promptTokens * kBytesPerToken);
-  stream.exportBytesPerSecond = aOperation.actor == 0 ? 0 : kLink;
+  stream.exportBytesPerSecond = aOperation.actor == 0 ? 0 : kLinkBytesPerSecond;
   this->streams.push_back(stream);
 }
 
 void
-ReclaimHarness::Leave(Host& aHost, Milliseconds aGrace)
+ReclaimHarness::GiveNotice(Host& aHost, Milliseconds aGrace)
 {
   aHost.target.leaving = true;
   aHost.goneAfter = std::min(aHost.goneAfter, this->clock.Now() + aGrace);
@@ -90,9 +90,9 @@
     const Host* host = this->Find(stream.endpoint);
     if (host != nullptr && host->goneAfter > this->clock.Now()) {
       const double seconds = std::chrono::duration<double>(aSpan).count();
-      const double made = std::min(stream.expectedRemaining, seconds * stream.tokensPerSecond);
-      stream.generatedTokens += static_cast<int>(made);
-      stream.expectedRemaining -= made;
+      const double generated = std::min(stream.expectedRemaining, seconds * stream.tokensPerSecond);
+      stream.generatedTokens += static_cast<int>(generated);
+      stream.expectedRemaining -= generated;
     }
   }
   std::erase_if(this->streams,
@@ -105,7 +105,7 @@
   std::vector<MoveTarget> targets;
   for (const Host& host : this->hosts) {
     MoveTarget target = host.target;
-    target.freeSlots = kSlots - this->Running(target.endpoint);
+    target.freeSlots = kSlots - this->RunningStreams(target.endpoint);
     target.domainGoing =
       std::all_of(this->hosts.begin(), this->hosts.end(), [&](const Host& aOther) {
         return aOther.domain != host.domain || aOther.target.leaving;
@@ -116,7 +116,7 @@
 }
 
 std::vector<StreamView>
-ReclaimHarness::Leaving() const
+ReclaimHarness::LeavingStreams() const
 {
   std::vector<StreamView> leaving;
   for (const StreamView& stream : this->streams) {
@@ -141,7 +141,7 @@
   const bool moves = aPlan.kind == MoveKind::ExportImport || aPlan.kind == MoveKind::Reprefill;
   RC_ASSERT(moves == !aPlan.target.empty());
   if (!moves) {
-    // A dead host finishes nothing
+    // A terminated host cannot finish its streams
     RC_ASSERT(aPlan.kind != MoveKind::FinishInPlace || aStream.goneAfter > this->clock.Now());
     return;
   }
@@ -161,11 +161,11 @@
 {
   const ManifestObjective objective{ 0.3, 0.7 };
   const auto targets = this->Targets();
-  auto views = this->Leaving();
+  auto views = this->LeavingStreams();
   auto plans = this->planner.PlanMoves(views, targets, objective, this->clock.Now());
   RC_ASSERT(plans.size() == views.size());
 
-  // No target gets more than it can run
+  // No target may get more streams than it has free slots
   std::map<std::string, int> planned;
   bool full = true;
   for (std::size_t index = 0; index < plans.size(); ++index) {
@@ -182,7 +182,7 @@
   });
   RC_ASSERT(!unplaced || full);
 
-  // The order of the input does not matter
+  // The plan must not depend on the order of the input
   std::reverse(views.begin(), views.end());
   auto again = this->planner.PlanMoves(views, targets, objective, this->clock.Now());
   std::reverse(again.begin(), again.end());
@@ -193,9 +193,10 @@
   return plans;
 }
 
-/// Does what is due: an export ends at once where it fits, a re-prefill switches over.
+/// Executes the moves that are due: an export starts, and its stream moves once the import is ready; a re-prefill
+/// moves its stream immediately.
 void
-ReclaimHarness::Act(const std::vector<MovePlan>& aPlans)
+ReclaimHarness::ExecuteMoves(const std::vector<MovePlan>& aPlans)
 {
   for (const MovePlan& plan : aPlans) {
     const auto stream =
@@ -222,18 +223,18 @@
       this->AddStream(aOperation);
       break;
     case 1:
-      this->Leave(this->hosts[aOperation.argument % this->hosts.size()],
-                  Milliseconds(1'000 * (aOperation.actor + 1) * 10));
+      this->GiveNotice(this->hosts[aOperation.argument % this->hosts.size()],
+                       Milliseconds(1'000 * (aOperation.actor + 1) * 10));
       break;
     case 2:
       for (Host& host : this->hosts) {
         if (host.domain == aOperation.actor) {
-          this->Leave(host, Milliseconds(500 * aOperation.argument));
+          this->GiveNotice(host, Milliseconds(500 * aOperation.argument));
         }
       }
       break;
     case 3:
-      this->Leave(this->hosts[aOperation.argument % this->hosts.size()], Milliseconds(0));
+      this->GiveNotice(this->hosts[aOperation.argument % this->hosts.size()], Milliseconds(0));
       break;
     case 4:
       this->AddHost(aOperation.actor);
@@ -242,10 +243,10 @@
       this->Advance(Milliseconds(100 * aOperation.argument));
       break;
     case 6:
-      this->Act(this->Plan());
+      this->ExecuteMoves(this->Plan());
       break;
     default:
-      // The planner's daemon dies: what had begun is forgotten, the streams' tokens are held
+      // The planner's daemon crashes: moves in progress are lost, the streams' tokens are preserved
       static_cast<void>(this->Plan());
       for (StreamView& stream : this->streams) {
         stream.inProgress.reset();
@@ -257,14 +258,14 @@
 void
 ReclaimHarness::Finish()
 {
-  // New hosts come and no more go: every stream ends
+  // New hosts join and no more hosts leave: every stream must end
   for (std::size_t index = 0; index <= this->streams.size() / kSlots + 1; ++index) {
     this->AddHost(static_cast<int>(index % kDomains));
     this->AddHost(static_cast<int>((index + 1) % kDomains));
   }
   constexpr int kRounds = 600;
   for (int round = 0; round < kRounds && !this->streams.empty(); ++round) {
-    this->Act(this->Plan());
+    this->ExecuteMoves(this->Plan());
     this->Advance(Milliseconds(500));
   }
   RC_ASSERT(this->streams.empty());
--- a/Fuzz/Stateful/ReclaimHarness.h
+++ b/Fuzz/Stateful/ReclaimHarness.h
@@ -9,17 +9,17 @@
 
 namespace lagoonward::fuzz {
 
-/// MovePlanner over a small fleet that loses endpoints and domains. The oracle: nothing moves to an
-/// endpoint that is going, full, not a candidate or the stream's own; a stream is left unplaced only if
-/// no candidate could take it; an export ends before its endpoint goes; the same input gives the same
-/// plan in any order; streams always end once hosts stop going.
+/// Tests MovePlanner on a small fleet that loses endpoints and domains. The oracle checks that no stream moves to an
+/// endpoint that is leaving, full, not a candidate or the stream's own; that a stream is left unplaced only if no
+/// candidate has room for it; that an export ends before its endpoint terminates; that the plan does not depend on the
+/// order of the input; and that all streams end once no more hosts leave.
 class ReclaimHarness
 {
 public:
   static constexpr std::string_view kName = "reclaim and moves";
   static constexpr std::array<std::string_view, 8> kOperations{
-    "add stream", "notice to a host", "notice to a domain", "host dies",
-    "new host",   "advance time",     "plan and act",       "plan, then crash",
+    "add stream", "notice to a host", "notice to a domain",     "host crashes",
+    "new host",   "advance time",     "plan and execute moves", "plan, then crash",
   };
 
   ReclaimHarness();
@@ -36,16 +36,16 @@
 
   void AddHost(int aDomain);
   void AddStream(const Operation& aOperation);
-  void Leave(Host& aHost, Milliseconds aGrace);
+  void GiveNotice(Host& aHost, Milliseconds aGrace);
   void Advance(Milliseconds aSpan);
   [[nodiscard]] std::vector<MovePlan> Plan();
   void CheckPlan(const StreamView& aStream, const MovePlan& aPlan) const;
-  void Act(const std::vector<MovePlan>& aPlans);
+  void ExecuteMoves(const std::vector<MovePlan>& aPlans);
   [[nodiscard]] Host* Find(const std::string& aEndpoint);
   [[nodiscard]] const Host* Find(const std::string& aEndpoint) const;
-  [[nodiscard]] int Running(const std::string& aEndpoint) const;
+  [[nodiscard]] int RunningStreams(const std::string& aEndpoint) const;
   [[nodiscard]] std::vector<MoveTarget> Targets() const;
-  [[nodiscard]] std::vector<StreamView> Leaving() const;
+  [[nodiscard]] std::vector<StreamView> LeavingStreams() const;
 
   static constexpr int kSlots = 6;
 
@@ -54,7 +54,7 @@
   MovePlanner planner{ settings };
   std::vector<Host> hosts;
   std::vector<StreamView> streams;
-  int named = 0; ///< Hosts and streams so far.
+  int nextName = 0; ///< Number for the name of the next host or stream.
 };
 
 } // namespace lagoonward::fuzz
