--- a/Model/ClaimAndDispatch.pml
+++ b/Model/ClaimAndDispatch.pml
@@ -1,19 +1,19 @@
 /*
- * At most once: a claim in the log before a non-idempotent request is dispatched.
+ * At-most-once execution: a non-idempotent request is dispatched only after its claim is in the log.
  *
- * One idempotency key. Callers submit it to several daemons at once, and again. An append may take
- * effect at once, late, or never, and its answer may be lost either way; the batcher between a daemon
- * and the log adds no further case. The log goes away and comes back. Daemons crash at any step and
- * return under a new incarnation.
+ * The model has one idempotency key. Callers submit it to several daemons concurrently and repeatedly. An
+ * append may take effect immediately, late or never, and in each case its answer may be lost. The batcher
+ * between a daemon and the log adds no further case, so it is not modelled. The log may become unavailable
+ * and available again. Daemons may crash at any step and restart with a new incarnation.
  *
  * Checked: the key runs at most once; a submission that was refused as "not run" is not run, neither
  * before nor after the refusal.
  *
  * guard 1: the first claim by offset wins, not every claim that was appended
- * guard 2: an append without an answer is settled by reading, not taken for done
- * guard 3: a claim names incarnation and sequence, not only its daemon
- * guard 4: a submission that was refused stays refused when its claim appears later
- * guard 5: the claim comes before the dispatch
+ * guard 2: an append without an answer is resolved by reading the log, not assumed to be stored
+ * guard 3: a claim contains incarnation and sequence, not only its daemon
+ * guard 4: a refused submission stays refused if its claim appears in the log later
+ * guard 5: the claim is stored before the dispatch
  */
 #ifndef NO_GUARD
 #define NO_GUARD 0
@@ -28,9 +28,9 @@
 #define SUBMISSION(d, k) ((d) * SUBMISSIONS + (k))
 #define CLAIMS (DAEMONS * (CRASHES + 1) * SUBMISSIONS)
 
-/* Appends that were sent. One that is never taken was lost. */
+/* Appends that were sent. An append that LogService never stores was lost. */
 bool sent[CLAIMS];
-byte firstClaim = NOBODY; /* of the key's first record; readers heed no later one */
+byte firstClaim = NOBODY; /* claim of the key's first record; readers ignore later records */
 bool logUp = true;
 #if NO_GUARD == 1
 bool appended[CLAIMS];
@@ -39,9 +39,9 @@
 byte crashes = CRASHES;
 byte runs = 0;
 bool ran[DAEMONS * SUBMISSIONS];
-bool saidNo[DAEMONS * SUBMISSIONS];
+bool refusedAsNotRun[DAEMONS * SUBMISSIONS];
 
-/* Takes appends in any order, at any time while it is up. */
+/* Stores appends in any order, at any time while the log is up. */
 active proctype LogService()
 {
   byte claim;
@@ -75,16 +75,16 @@
   runs++;
   ran[submission] = true;
   assert(runs <= 1);
-  assert(!saidNo[submission])
+  assert(!refusedAsNotRun[submission])
 }
 
 inline RefuseAsNotRun()
 {
-  saidNo[submission] = true;
+  refusedAsNotRun[submission] = true;
   assert(!ran[submission])
 }
 
-/* A crashed daemon keeps nothing; what it sent may still reach the log. */
+/* A crashed daemon loses its state; appends that it sent may still be stored. */
 inline Crash()
 {
   crashes--;
@@ -95,22 +95,22 @@
 {
   byte incarnation = 0;
   byte submission, claim;
-  byte next = 0; /* submissions taken so far */
+  byte taken = 0; /* submissions taken so far */
 
 accept_work:
   atomic {
     claim = 0;
     submission = 0;
     if
-    :: next == SUBMISSIONS -> goto done
-    :: next < SUBMISSIONS ->
-       submission = SUBMISSION(self, next);
+    :: taken == SUBMISSIONS -> goto done
+    :: taken < SUBMISSIONS ->
+       submission = SUBMISSION(self, taken);
 #if NO_GUARD == 3
        claim = self;
 #else
-       claim = (self * (CRASHES + 1) + incarnation) * SUBMISSIONS + next;
+       claim = (self * (CRASHES + 1) + incarnation) * SUBMISSIONS + taken;
 #endif
-       next++
+       taken++
     fi
   }
 #if NO_GUARD == 5
@@ -128,13 +128,13 @@
   goto dispatch;
 #endif
 
-  /* With or without an answer: only what stands in the log counts. Sending again changes nothing. */
-settle:
+  /* With or without an answer, only the log's content decides. Sending the append again changes nothing. */
+resolve_claim:
   atomic {
     if
     :: logUp && firstClaim == claim -> goto dispatch
     :: logUp && firstClaim != NOBODY && firstClaim != claim ->
-       goto accept_work /* joins the winner, or answers "unknown" */
+       goto accept_work /* subscribes to the winner's run, or answers "unknown" */
 #if NO_GUARD == 1
     :: logUp && appended[claim] -> goto dispatch
 #endif
@@ -156,7 +156,7 @@
   atomic { RefuseAsNotRun() }
 #if NO_GUARD == 4
   if
-  :: goto settle /* goes on settling the claim of what it has refused */
+  :: goto resolve_claim /* still resolves the claim of the refused submission */
   :: goto accept_work
   fi;
 #endif
@@ -165,7 +165,7 @@
 done:
   atomic {
     incarnation = 0;
-    next = 0
+    taken = 0
   }
 }
 
--- a/Model/ConfigurationOrder.pml
+++ b/Model/ConfigurationOrder.pml
@@ -1,28 +1,29 @@
 /*
- * One order of configurations on every reader.
+ * All readers apply configurations in the same order.
  *
- * Publishers race: each appends a record on top of the offset that it believes to be in force. A
- * record counts only if that base is the offset in force where the record stands in the log. A
- * checkpoint, written by a reader that may lag, says which offset was in force after which record.
- * The log drops its oldest records at any time, needed or not. Readers read at their own pace, restart
- * with nothing, and take the state of peers, which may be older than their own.
+ * Publishers race: each appends a record with the offset that it believes to be in force as its base. A
+ * record takes effect only if its base is the offset in force at the record's position in the log. A
+ * checkpoint, written by a reader that may lag, contains the offset that was in force after a given record.
+ * The log may drop its oldest records at any time, whether or not readers still need them. Readers read at
+ * any speed, restart without state, and adopt the state of peers, which may be older than their own.
  *
- * Checked: the offset in force never goes down on a reader between restarts; whatever a reader holds
- * in force is what the whole log gives at the position up to which it has read, so that readers at
- * one position hold the same; what a publisher was told to have won did follow on its base.
+ * Checked: the offset in force never decreases on a reader between restarts; a reader's offset in force is
+ * the one that the complete log gives at the reader's position, so that readers at the same position have
+ * the same offset in force; a record that was reported to its publisher as the winner directly follows its
+ * base.
  *
- * guard 1: a record counts only if its base is the offset in force
- * guard 2: a reader that finds the log's start past its own position stops and reloads
- * guard 3: a checkpoint is taken only with the position that it is true for, and read on from there
- * guard 4: a peer's state is taken only if it is newer than one's own
- * guard 5: a reader that starts with nothing takes nothing for in force before a checkpoint or a peer
+ * guard 1: a record takes effect only if its base is the offset in force
+ * guard 2: a reader whose next record has been dropped from the log stops and reloads
+ * guard 3: a checkpoint is adopted only together with the position that it describes, and reading continues there
+ * guard 4: a peer's state is adopted only if it is newer than the reader's own
+ * guard 5: a reader without state puts no record in force before it has adopted a checkpoint or a peer's state
  */
 #ifndef NO_GUARD
 #define NO_GUARD 0
 #endif
 
 #define READERS 2
-#define RECORDS 6 /* offsets 1..RECORDS; 0 stands for "nothing published yet" */
+#define RECORDS 6 /* offsets 1..RECORDS; 0 means "nothing published yet" */
 #define RESTARTS 1 /* over all readers */
 #define CONFIG 1
 #define CHECKPOINT 2
@@ -33,11 +34,11 @@
 byte base[RECORDS + 1]; /* CONFIG: its base. CHECKPOINT: the offset in force */
 byte upTo[RECORDS + 1]; /* CHECKPOINT: the last record that its writer had read */
 
-/* The oracle: in force after each record, from the whole log */
-byte truth[RECORDS + 1];
+/* The oracle: offset in force after each record, computed from the complete log */
+byte expectedInForce[RECORDS + 1];
 
 /* Readers */
-bool known[READERS];     /* has a state */
+bool hasState[READERS];     /* whether the reader has a state */
 byte inForce[READERS];
 byte position[READERS];  /* last record read */
 byte restarts = RESTARTS;
@@ -48,33 +49,35 @@
   base[logEnd] = aBase;
   upTo[logEnd] = aUpTo;
 #if NO_GUARD == 1
-  truth[logEnd] = (aKind == CONFIG -> logEnd : truth[logEnd - 1]);
+  expectedInForce[logEnd] = (aKind == CONFIG -> logEnd : expectedInForce[logEnd - 1]);
 #else
-  truth[logEnd] = (aKind == CONFIG && aBase == truth[logEnd - 1] -> logEnd : truth[logEnd - 1]);
+  expectedInForce[logEnd] =
+    (aKind == CONFIG && aBase == expectedInForce[logEnd - 1] -> logEnd : expectedInForce[logEnd - 1]);
 #endif
-  /* Whoever won did follow on its base */
-  assert(truth[logEnd] != logEnd || truth[logEnd - 1] == aBase);
+  /* A record that takes effect directly follows its base */
+  assert(expectedInForce[logEnd] != logEnd || expectedInForce[logEnd - 1] == aBase);
   logEnd++
 }
 
 inline SetState(r, aInForce, aPosition)
 {
-  assert(!known[r] || aInForce >= inForce[r]);
-  assert(aInForce == truth[aPosition]);
-  known[r] = true;
+  assert(!hasState[r] || aInForce >= inForce[r]);
+  assert(aInForce == expectedInForce[aPosition]);
+  hasState[r] = true;
   inForce[r] = aInForce;
   position[r] = aPosition
 }
 
-/* Both go by what a reader holds, which may be far behind the log's end. */
+/* A publisher for each reader and a checkpoint writer. They use the reader's state, which may lag far behind the
+   log's end. */
 active proctype Writers()
 {
 end:
   do
-  :: atomic { known[0] && logEnd <= RECORDS -> Append(CONFIG, inForce[0], 0) }
-  :: atomic { known[1] && logEnd <= RECORDS -> Append(CONFIG, inForce[1], 0) }
+  :: atomic { hasState[0] && logEnd <= RECORDS -> Append(CONFIG, inForce[0], 0) }
+  :: atomic { hasState[1] && logEnd <= RECORDS -> Append(CONFIG, inForce[1], 0) }
   :: atomic {
-       known[1] && position[1] > 0 && logEnd <= RECORDS ->
+       hasState[1] && position[1] > 0 && logEnd <= RECORDS ->
        Append(CHECKPOINT, inForce[1], position[1])
      }
   od
@@ -93,9 +96,9 @@
   byte next, peer;
 end:
   do
-  /* The next record, while the log still keeps it */
+  /* Reads the next record, if the log still retains it */
   :: atomic {
-       known[r] && position[r] + 1 < logEnd &&
+       hasState[r] && position[r] + 1 < logEnd &&
 #if NO_GUARD == 2
        true ->
        next = (position[r] + 1 < logStart -> logStart : position[r] + 1);
@@ -118,13 +121,14 @@
        next = 0
      }
 
-  /* Behind the start, or new: a checkpoint from whose position on every record is still kept */
+  /* The next record has been dropped, or the reader has no state: adopts a checkpoint for a position after which
+     every record is still retained */
   :: atomic {
-       (!known[r] || position[r] + 1 < logStart) && logStart < logEnd ->
+       (!hasState[r] || position[r] + 1 < logStart) && logStart < logEnd ->
        select (next : 1 .. RECORDS);
        if
        :: next >= logStart && next < logEnd && kind[next] == CHECKPOINT &&
-          (!known[r] || upTo[next] > position[r]) ->
+          (!hasState[r] || upTo[next] > position[r]) ->
 #if NO_GUARD == 3
           SetState(r, base[next], next)
 #else
@@ -139,23 +143,23 @@
      }
 
 #if NO_GUARD == 5
-  /* New: the oldest record that is kept is taken for the first one */
+  /* No state: treats the oldest retained record as the first one */
   :: atomic {
-       !known[r] && logStart < logEnd && kind[logStart] == CONFIG -> SetState(r, logStart, logStart)
+       !hasState[r] && logStart < logEnd && kind[logStart] == CONFIG -> SetState(r, logStart, logStart)
      }
 #endif
 
-  /* New, and the log is whole */
-  :: atomic { !known[r] && logStart == 1 -> SetState(r, 0, 0) }
+  /* No state, and the log is complete */
+  :: atomic { !hasState[r] && logStart == 1 -> SetState(r, 0, 0) }
 
-  /* A peer's state */
+  /* Adopts a peer's state */
   :: atomic {
        peer = 1 - r;
        if
 #if NO_GUARD == 4
-       :: known[peer] -> SetState(r, inForce[peer], position[peer])
+       :: hasState[peer] -> SetState(r, inForce[peer], position[peer])
 #else
-       :: known[peer] && (!known[r] || position[peer] > position[r]) ->
+       :: hasState[peer] && (!hasState[r] || position[peer] > position[r]) ->
           SetState(r, inForce[peer], position[peer])
 #endif
        :: else
@@ -165,9 +169,9 @@
 
   /* Restart */
   :: atomic {
-       known[r] && restarts > 0 ->
+       hasState[r] && restarts > 0 ->
        restarts--;
-       known[r] = false;
+       hasState[r] = false;
        inForce[r] = 0;
        position[r] = 0
      }
--- a/Model/LeaseAndFencing.pml
+++ b/Model/LeaseAndFencing.pml
@@ -1,25 +1,25 @@
 /*
- * Who may order endpoints: lease records in the log; the offset of a tenure's first record is its
- * fencing number.
+ * Leadership, which authorizes orders to endpoints, is decided by lease records in the log. The offset of a
+ * tenure's first record is its fencing number.
  *
- * Candidates read the log, append a record on top of the one they saw last, and order an engine that
- * checks fencing numbers and one that does not. A candidate may be paused between any two steps; time
- * goes on meanwhile. There is no common clock: a holder counts its lease from before its append was
- * sent, the others from when they read the record. An append may take effect late or never and its
- * answer may be lost; it is settled by reading. A daemon that restarts is a new candidate.
+ * Candidates read the log, append a record based on the last one that they read, and send orders to an
+ * engine that checks fencing numbers and to one that does not. A candidate may be paused between any two
+ * steps while time advances. There is no common clock: a holder measures its lease from before its append
+ * was sent, the other candidates from when they read the record. An append may take effect late or never,
+ * and its answer may be lost; its result is determined by reading. A daemon that restarts is a new candidate.
  *
- * Checked for the engine that checks: no order of an older tenure is obeyed after one of a newer
- * tenure, however long the holder was paused, however late the order arrives, and even if the holder
- * goes on past its lease because the log is away; no two candidates share a number.
- * Checked for the engine that does not check: the same, as long as an order arrives within the
- * handover time after the holder looked at its lease. An order that arrives later is the one thing
- * that is not prevented there: it must be found by observing the engine, and corrected.
+ * Checked for the engine that checks: no order of an older tenure is executed after one of a newer tenure,
+ * however long the holder was paused, however late the order arrives, and even if the holder continues
+ * after the end of its lease because the log is unavailable; no two candidates have the same fencing number.
+ * Checked for the engine that does not check: the same, as long as an order arrives within the handover
+ * time after the holder checked its lease. Only an order that arrives later is not prevented there: it has
+ * to be detected by observing the engine, and corrected.
  *
  * guard 1: the engine refuses an order with an older fencing number
- * guard 2: the holder looks at its lease right before each order, not only when it renews
+ * guard 2: the holder checks its lease directly before each order, not only when it renews
  * guard 3: a successor waits the handover time beyond the end of the lease
- * guard 4: a lease is counted from before its append was sent, not from when it was read back
- * guard 5: a record counts only on top of the record that was in force
+ * guard 4: a lease is measured from before its append was sent, not from when it was read back
+ * guard 5: a record takes effect only if its base is the record in force
  */
 #ifndef NO_GUARD
 #define NO_GUARD 0
@@ -32,32 +32,32 @@
 #define RECORDS 4
 #define NONE 255
 
-byte now = 0; /* what every clock counts, suspension included */
+byte now = 0; /* time of every clock, including suspension */
 
-/* The log. Offset 0 stands for "nobody yet"; records that do not count are left out. */
+/* The log. Offset 0 means "no holder yet"; records that do not take effect are omitted. */
 byte logEnd = 1;
 byte holder[RECORDS];
 byte tenure[RECORDS]; /* offset of the tenure's first record */
 byte sentAt[RECORDS]; /* known to the sender only, by the record's sequence */
 byte inForce = 0;
 
-/* One append under way for each candidate. One that is never taken was lost. */
+/* One append in flight for each candidate. An append that LogService never stores was lost. */
 bool appending[CANDIDATES];
 byte appendBase[CANDIDATES];
 byte appendSentAt[CANDIDATES];
 
-/* One order under way from each candidate to the engine that checks, for any time */
+/* One order in flight from each candidate to the engine that checks, for any time */
 byte orderTenure[CANDIDATES];
 
-/* Latest arrival of an order under way to the engine that does not check */
+/* Latest arrival time of an order in flight to the engine that does not check */
 byte orderDue[CANDIDATES] = NONE;
 
-/* What the engines have obeyed */
+/* Tenures of the orders that the engines have executed */
 byte checkingHighest = 0;
 byte checkingHolder[RECORDS] = NONE;
-byte uncheckingHighest = 0;
+byte nonCheckingHighest = 0;
 
-/* Time may pass at any moment, but not beyond an order that has to be there by now */
+/* Time may advance at any moment, but not past the latest arrival time of an order in flight */
 active proctype Time()
 {
 end:
@@ -69,7 +69,7 @@
   od
 }
 
-inline TakeAppend(who)
+inline StoreAppend(who)
 {
   if
   :: appending[who] && logEnd < RECORDS &&
@@ -96,12 +96,12 @@
 {
 end:
   do
-  :: atomic { TakeAppend(0) }
-  :: atomic { TakeAppend(1) }
+  :: atomic { StoreAppend(0) }
+  :: atomic { StoreAppend(1) }
   od
 }
 
-inline Obey(who)
+inline ExecuteOrder(who)
 {
   if
   :: orderTenure[who] > 0 ->
@@ -127,60 +127,60 @@
 {
 end:
   do
-  :: atomic { Obey(0) }
-  :: atomic { Obey(1) }
+  :: atomic { ExecuteOrder(0) }
+  :: atomic { ExecuteOrder(1) }
   od
 }
 
 proctype Candidate(byte self)
 {
-  byte seen = 0;   /* record in force when it read last */
-  byte seenAt = 0; /* when it read that record first */
+  byte lastRead = 0;   /* record in force at the last read */
+  byte lastReadAt = 0; /* time of the first read of that record */
   byte leaseEnd = 0;
-  byte number = 0; /* its fencing number; 0: does not lead */
+  byte fencing = 0; /* its fencing number; 0: not the leader */
 
 end:
   do
   /* Read the log */
   :: atomic {
-       seen != inForce ->
-       seen = inForce;
-       seenAt = now;
+       lastRead != inForce ->
+       lastRead = inForce;
+       lastReadAt = now;
        if
-       :: holder[seen] == self ->
+       :: holder[lastRead] == self ->
 #if NO_GUARD == 4
           leaseEnd = now + LEASE;
 #else
-          leaseEnd = sentAt[seen] + LEASE;
+          leaseEnd = sentAt[lastRead] + LEASE;
 #endif
-          number = tenure[seen]
+          fencing = tenure[lastRead]
        :: else ->
           leaseEnd = 0;
-          number = 0
+          fencing = 0
        fi
      }
 
   /* Acquire or renew */
   :: atomic {
        !appending[self] && logEnd < RECORDS &&
-       (seen == 0 || holder[seen] == self ||
+       (lastRead == 0 || holder[lastRead] == self ||
 #if NO_GUARD == 3
-        now >= seenAt + LEASE) ->
+        now >= lastReadAt + LEASE) ->
 #else
-        now >= seenAt + LEASE + HANDOVER) ->
+        now >= lastReadAt + LEASE + HANDOVER) ->
 #endif
        appending[self] = true;
-       appendBase[self] = seen;
+       appendBase[self] = lastRead;
        appendSentAt[self] = now
      }
   :: atomic { appending[self] -> appending[self] = false; appendBase[self] = 0; appendSentAt[self] = 0 }
 
-  /* Order the engine that checks; the lease may have lapsed */
-  :: atomic { number > 0 && orderTenure[self] == 0 -> orderTenure[self] = number }
+  /* Send an order to the engine that checks; the lease may have expired */
+  :: atomic { fencing > 0 && orderTenure[self] == 0 -> orderTenure[self] = fencing }
 
-  /* Order the engine that does not check: look, then send */
+  /* Send an order to the engine that does not check: check the lease, then send */
   :: atomic {
-       number > 0 && orderDue[self] == NONE &&
+       fencing > 0 && orderDue[self] == NONE &&
 #if NO_GUARD == 2
        true ->
 #else
@@ -190,8 +190,8 @@
      }
   :: atomic {
        orderDue[self] != NONE ->
-       assert(number >= uncheckingHighest);
-       uncheckingHighest = number;
+       assert(fencing >= nonCheckingHighest);
+       nonCheckingHighest = fencing;
        orderDue[self] = NONE
      }
   od
--- a/Model/LeaseQuiet.pml
+++ b/Model/LeaseQuiet.pml
@@ -1,13 +1,13 @@
 /*
- * Leadership never goes to and fro: no host acts, is succeeded by another that acts, and acts again within
- * the span in which whoever obeys the orders forbids it.
+ * Leadership does not alternate too fast: no host acts, is succeeded by another host that acts, and acts again
+ * within the minimum return time that the receiver of the orders enforces.
  *
- * Hosts read the lease log, append a record on top of the one that they saw last, act, give the lease up
- * and stand again, each at any moment and after any pause. An append may take effect late or never.
- * Nothing but the log and a clock that counts suspension is shared.
+ * Hosts read the lease log, append a record based on the last one that they read, act, release the lease
+ * and apply for it again, each at any moment and after any pause. An append may take effect late or never.
+ * Hosts share only the log and a clock that includes suspension.
  *
- * guard 1: a host that saw another lead keeps quiet for the forbidden span
- * guard 2: it counts each record that it reads, also one that was replaced before it looked
+ * guard 1: a host that has seen another leader does not act for the minimum return time
+ * guard 2: it considers each record in the log, also one that was replaced before it read
  */
 #ifndef NO_GUARD
 #define NO_GUARD 0
@@ -16,27 +16,27 @@
 #define HOSTS 2
 #define LEASE 1
 #define HANDOVER 0
-#define FORBIDDEN 2
+#define MINIMUM_RETURN_TIME 2
 #define LAST_TICK 3
 #define RECORDS 6
 #define NONE 255
 
 byte now = 0;
 
-/* The log. Offset 0 stands for "nobody yet"; records that do not count are left out. */
+/* The log. Offset 0 means "no holder yet"; records that do not take effect are omitted. */
 byte logEnd = 1;
 byte holder[RECORDS];
 byte sentAt[RECORDS];
-bool givesUp[RECORDS];
+bool releases[RECORDS];
 byte inForce = 0;
 
-/* One append under way for each host, taken at any later moment. One that another replaces was lost. */
+/* One append in flight for each host, stored at any later moment. An append that is replaced by another was lost. */
 bool appending[HOSTS];
 byte appendBase[HOSTS];
 byte appendSentAt[HOSTS];
-bool appendGivesUp[HOSTS];
+bool appendReleases[HOSTS];
 
-/* Acts, as seen by whoever obeys them */
+/* Actions as observed by the receiver of the orders */
 byte lastActor = NONE;
 byte lastActAt[HOSTS] = NONE;
 
@@ -53,16 +53,16 @@
   appending[who] = false;
   appendBase[who] = 0;
   appendSentAt[who] = 0;
-  appendGivesUp[who] = false
+  appendReleases[who] = false
 }
 
-inline TakeAppend(who)
+inline StoreAppend(who)
 {
   if
   :: appending[who] && logEnd < RECORDS && appendBase[who] == inForce ->
      holder[logEnd] = who;
      sentAt[logEnd] = appendSentAt[who];
-     givesUp[logEnd] = appendGivesUp[who];
+     releases[logEnd] = appendReleases[who];
      inForce = logEnd;
      logEnd++;
      ClearAppend(who)
@@ -73,64 +73,64 @@
 {
 end:
   do
-  :: atomic { TakeAppend(0) }
-  :: atomic { TakeAppend(1) }
+  :: atomic { StoreAppend(0) }
+  :: atomic { StoreAppend(1) }
   od
 }
 
 proctype Host(byte self)
 {
-  byte seen = 0;        /* record in force when it read last */
-  byte seenAt = 0;      /* when it read that record first */
-  byte leaseEnd = 0;    /* zero: does not lead */
-  byte otherAt = NONE;  /* last sight of another leader; NONE: never */
+  byte lastRead = 0;        /* record in force at the last read */
+  byte lastReadAt = 0;      /* time of the first read of that record */
+  byte leaseEnd = 0;    /* zero: not the leader */
+  byte otherLeaderAt = NONE;  /* time at which it last read a record of another leader; NONE: never */
   byte offset;
 
 end:
   do
   /* Read the log */
   :: atomic {
-       seen != inForce ->
+       lastRead != inForce ->
 #if NO_GUARD == 2
        if
-       :: holder[inForce] != self && !givesUp[inForce] -> otherAt = now
+       :: holder[inForce] != self && !releases[inForce] -> otherLeaderAt = now
        :: else
        fi;
 #else
        for (offset : 1 .. RECORDS - 1) {
          if
-         :: offset > seen && offset < logEnd && holder[offset] != self -> otherAt = now
+         :: offset > lastRead && offset < logEnd && holder[offset] != self -> otherLeaderAt = now
          :: else
          fi
        };
        offset = 0;
 #endif
-       seen = inForce;
-       seenAt = now;
+       lastRead = inForce;
+       lastReadAt = now;
        if
-       :: holder[seen] == self && !givesUp[seen] ->
-          leaseEnd = sentAt[seen] + LEASE
+       :: holder[lastRead] == self && !releases[lastRead] ->
+          leaseEnd = sentAt[lastRead] + LEASE
        :: else -> leaseEnd = 0
        fi
      }
 
-  /* Acquire or renew, or give up */
+  /* Acquire or renew, or release */
   :: atomic {
        logEnd < RECORDS &&
-       (seen == 0 || (holder[seen] == self) ||
-        (givesUp[seen] && now >= seenAt + HANDOVER) || now >= seenAt + LEASE + HANDOVER) ->
+       (lastRead == 0 || (holder[lastRead] == self) ||
+        (releases[lastRead] && now >= lastReadAt + HANDOVER) || now >= lastReadAt + LEASE + HANDOVER) ->
        appending[self] = true;
-       appendBase[self] = seen;
+       appendBase[self] = lastRead;
        appendSentAt[self] = now;
-       appendGivesUp[self] = false
+       appendReleases[self] = false
      }
   :: atomic {
        logEnd < RECORDS && leaseEnd > 0 ->
        leaseEnd = 0;
        appending[self] = true;
-       appendBase[self] = seen;
+       appendBase[self] = lastRead;
        appendSentAt[self] = now;
-       appendGivesUp[self] = true
+       appendReleases[self] = true
      }
   /* Act */
   :: atomic {
@@ -138,10 +138,10 @@
 #if NO_GUARD == 1
        true ->
 #else
-       (otherAt == NONE || now >= otherAt + FORBIDDEN) ->
+       (otherLeaderAt == NONE || now >= otherLeaderAt + MINIMUM_RETURN_TIME) ->
 #endif
        assert(lastActor == NONE || lastActor == self || lastActAt[self] == NONE ||
-              now >= lastActAt[self] + FORBIDDEN);
+              now >= lastActAt[self] + MINIMUM_RETURN_TIME);
        lastActor = self;
        lastActAt[self] = now
      }
