--- a/UnitTests/Support/SharedLimit.h
+++ b/UnitTests/Support/SharedLimit.h
@@ -14,7 +14,7 @@
 {
 public:
   /// Whether one daemon's token request reaches another daemon.
-  using Reaches = std::function<bool(std::size_t aFrom, std::size_t aTo)>;
+  using ReachabilityPredicate = std::function<bool(std::size_t aFrom, std::size_t aTo)>;
 
   /// The last daemon holds the primary reserve, the one before it the backup.
   SharedLimit(std::size_t aDaemons, const PooledLimit& aLimit, TimePoint aNow)
@@ -44,7 +44,7 @@
   std::vector<PooledBucket> buckets;
   std::vector<std::size_t>
     reserves; ///< Indices of the daemons that hold a reserve, the primary first.
-  Reaches reaches = [](std::size_t, std::size_t) { return true; };
+  ReachabilityPredicate reaches = [](std::size_t, std::size_t) { return true; };
 
 private:
   void RequestTokens(std::size_t aDaemon, const LoanRequest& aRequest, TimePoint aNow)
