--- a/StandIns/Commands.cpp
+++ b/StandIns/Commands.cpp
@@ -13,9 +13,9 @@
 
 namespace po = boost::program_options;
 
-/// Blocks until the process is told to end. The signals must be blocked already.
+/// Waits for SIGTERM or SIGINT. Both must be blocked already, see BlockTerminationSignals().
 void
-WaitForEnd()
+WaitForTerminationSignal()
 {
   sigset_t signals;
   sigemptyset(&signals);
@@ -25,9 +25,9 @@
   sigwait(&signals, &received);
 }
 
-/// Blocks the ending signals in this thread and all that it will start.
+/// Blocks SIGTERM and SIGINT in this thread and in every thread that it starts later, and ignores SIGPIPE.
 void
-BlockEndingSignals()
+BlockTerminationSignals()
 {
   sigset_t signals;
   sigemptyset(&signals);
@@ -37,7 +37,7 @@
   std::signal(SIGPIPE, SIG_IGN);
 }
 
-/// Flags that every command has, and the parse.
+/// Command-line parser with the flags that all commands share.
 class CommandLine
 {
 public:
@@ -51,7 +51,7 @@
   [[nodiscard]] po::options_description& Description() { return this->description; }
   [[nodiscard]] ListenAddress Listen() const { return ListenAddress::Parse(this->listen); }
 
-  /// False when the help was asked for and printed.
+  /// @return false if `--help` was given; the help text has been printed then
   [[nodiscard]] bool Parse(const std::vector<std::string>& aArguments)
   {
     po::variables_map values;
@@ -81,7 +81,7 @@
   Scheduler scheduler;
   PlatformStandIn platform(options.Settings(), line.Listen(), scheduler, {});
   std::cout << "platform listens on " << platform.Address().ToString() << std::endl;
-  WaitForEnd();
+  WaitForTerminationSignal();
   platform.Stop();
   scheduler.Stop();
   return 0;
@@ -110,7 +110,7 @@
   ComputeLedger ledger;
   EngineStandIn engine(settings, line.Listen(), scheduler, ledger);
   std::cout << "engine " << id << " listens on " << engine.Address().ToString() << std::endl;
-  WaitForEnd();
+  WaitForTerminationSignal();
   scheduler.Stop();
   return 0;
 }
@@ -134,7 +134,7 @@
   ServiceStandIn service(settings, line.Listen(), scheduler);
   std::cout << "service " << settings.name << " listens on " << service.Address().ToString()
             << std::endl;
-  WaitForEnd();
+  WaitForTerminationSignal();
   scheduler.Stop();
   return 0;
 }
@@ -152,7 +152,7 @@
   Scheduler scheduler;
   FleetStandIn fleet(options.Settings(line.Listen()), scheduler);
   std::cout << fleet.Describe() << std::endl;
-  WaitForEnd();
+  WaitForTerminationSignal();
   scheduler.Stop();
   fleet.Stop();
   return 0;
@@ -210,7 +210,7 @@
 int
 RunCommand(const std::string& aCommand, const std::vector<std::string>& aArguments)
 {
-  BlockEndingSignals();
+  BlockTerminationSignals();
   try {
     if (aCommand == "platform") {
       return RunPlatform(aArguments);
--- a/StandIns/Commands.h
+++ b/StandIns/Commands.h
@@ -5,12 +5,12 @@
 
 namespace lagoonward::standins {
 
-/// Runs one command of `lagoonward-standins` until SIGTERM or SIGINT, or to its end.
-/// @return the exit status: 0, 1 where the work failed, 2 for wrong arguments
+/// Runs one command of `lagoonward-standins` until it completes or receives SIGTERM or SIGINT.
+/// @return the exit status: 0 on success, 1 if the command failed, 2 for invalid arguments
 [[nodiscard]] int
 RunCommand(const std::string& aCommand, const std::vector<std::string>& aArguments);
 
-/// What the commands are, for `--help`.
+/// Help text of `--help`: lists the commands.
 [[nodiscard]] std::string
 Usage();
 
--- a/StandIns/Engine/ComputeLedger.cpp
+++ b/StandIns/Engine/ComputeLedger.cpp
@@ -6,22 +6,22 @@
 
 namespace {
 
-/// Answers that are remembered.
-constexpr std::size_t kAnswersKept = 100000;
+/// Maximum number of answers that are tracked; the oldest is evicted first.
+constexpr std::size_t kMaxAnswers = 100000;
 
 } // namespace
 
 std::int64_t
-ComputeLedger::Progress::Compute(std::int64_t aFrom, std::int64_t aTo)
+ComputeLedger::Progress::MarkComputed(std::int64_t aFrom, std::int64_t aTo)
 {
   const std::lock_guard lock(this->mutex);
-  const auto again = std::max<std::int64_t>(0, std::min(this->computed, aTo) - aFrom);
+  const auto recomputed = std::max<std::int64_t>(0, std::min(this->computed, aTo) - aFrom);
   this->computed = std::max(this->computed, aTo);
-  return again;
+  return recomputed;
 }
 
 std::shared_ptr<ComputeLedger::Progress>
-ComputeLedger::Of(std::uint64_t aAnswerKey)
+ComputeLedger::ProgressFor(std::uint64_t aAnswerKey)
 {
   const std::lock_guard lock(this->mutex);
   auto& progress = this->answers[aAnswerKey];
@@ -30,10 +30,10 @@
   }
   progress = std::make_shared<Progress>();
   auto result = progress;
-  this->order.push_back(aAnswerKey);
-  if (this->order.size() > kAnswersKept) {
-    this->answers.erase(this->order.front());
-    this->order.pop_front();
+  this->insertionOrder.push_back(aAnswerKey);
+  if (this->insertionOrder.size() > kMaxAnswers) {
+    this->answers.erase(this->insertionOrder.front());
+    this->insertionOrder.pop_front();
   }
   return result;
 }
--- a/StandIns/Engine/EngineCore.cpp
+++ b/StandIns/Engine/EngineCore.cpp
@@ -13,14 +13,14 @@
 
 using SteadyClock = std::chrono::steady_clock;
 
-/// How often the thread looks round while there is nothing to generate.
-constexpr std::chrono::milliseconds kIdleRound{ 50 };
+/// Poll interval of the thread while no stream is running or the engine is paused.
+constexpr std::chrono::milliseconds kIdlePollInterval{ 50 };
 
-/// How often streams that nobody reads are looked for.
-constexpr std::chrono::milliseconds kReapRound{ 500 };
+/// Interval between checks for streams without a reader and for ended streams past their retention.
+constexpr std::chrono::milliseconds kExpiryCheckInterval{ 500 };
 
-/// The key of the answer's tokens. Resume tokens of another answer lead the engine astray, as they
-/// would a model.
+/// The key from which the answer's tokens are derived. Resume tokens of another answer change the key,
+/// because a model would continue from them with different text.
 std::uint64_t
 KeyAfterResume(std::uint64_t aKey, const std::vector<std::string>& aResumeTokens)
 {
@@ -37,7 +37,7 @@
 EngineCore::EngineCore(const EngineSettings& aSettings, ComputeLedger& aLedger)
   : settings(aSettings)
   , ledger(aLedger)
-  , cache(aSettings.kvBlocks, aSettings.cacheEventsKept)
+  , cache(aSettings.kvBlocks, aSettings.maxCacheEvents)
   , thread([this] { this->Run(); })
 {
 }
@@ -67,16 +67,16 @@
   stream->request = std::move(aRequest);
   const auto& request = stream->request;
   const auto key = AnswerKey(request.question);
-  stream->key = KeyAfterResume(key, request.resumeTokens);
-  stream->length = AnswerLength(key, request.maxTokens);
+  stream->answerKey = KeyAfterResume(key, request.resumeTokens);
+  stream->answerLength = AnswerLength(key, request.maxTokens);
   if (aFaults.crossed && aFaults.crossed->mode == "first") {
-    stream->key = HashBytes("the answer to another question");
+    stream->answerKey = HashBytes("the answer to another question");
   }
   stream->cut = std::move(aFaults.cut);
   stream->crossed = std::move(aFaults.crossed);
   stream->skipped = std::move(aFaults.skipped);
-  stream->progress = this->ledger.Of(key);
-  stream->chain.push_back(ChainStart(request.question));
+  stream->progress = this->ledger.ProgressFor(key);
+  stream->chain.push_back(InitialChainHash(request.question));
   for (const auto word : SplitWords(request.question.prompt)) {
     this->AppendWord(*stream, word);
   }
@@ -84,7 +84,7 @@
     stream->tokens.push_back(token);
     this->AppendWord(*stream, token);
   }
-  stream->sent = static_cast<std::int64_t>(stream->tokens.size());
+  stream->nextToSend = static_cast<std::int64_t>(stream->tokens.size());
   {
     const std::lock_guard lock(this->mutex);
     stream->arrival = this->arrivals++;
@@ -92,13 +92,13 @@
     stream->reader = aReader;
     this->streams[stream->id] = stream;
     ++this->counters.accepted;
-    this->counters.divergedResumes += !stream->crossed && stream->key != key ? 1 : 0;
+    this->counters.divergedResumes += !stream->crossed && stream->answerKey != key ? 1 : 0;
     this->counters.promptTokens += stream->position;
     this->SendFirst(*stream);
     this->Enqueue(stream);
     this->changed.notify_all();
   }
-  this->Attach(stream, aReader);
+  this->WatchReader(stream, aReader);
 }
 
 std::string
@@ -121,7 +121,7 @@
     }
     stream->reader = aReader;
     stream->request.attemptId = aAttemptId;
-    stream->sent = aFrom;
+    stream->nextToSend = aFrom;
     ++this->counters.reattached;
     this->SendFirst(*stream);
     this->SendTokens(*stream);
@@ -129,7 +129,7 @@
       this->SendLast(*stream);
     }
   }
-  this->Attach(stream, aReader);
+  this->WatchReader(stream, aReader);
   return {};
 }
 
@@ -157,7 +157,7 @@
   if (found == this->streams.end()) {
     return std::nullopt;
   }
-  // Only what has been computed: the blocks that the stream holds
+  // Export only computed blocks, which are those that the stream has pinned
   const auto& stream = *found->second;
   const auto begin = stream.chain.begin() + 1;
   return std::vector<std::uint64_t>(begin,
@@ -199,7 +199,7 @@
   ++this->counters.refused;
 }
 
-EngineLoadReading
+EngineLoadSample
 EngineCore::Load()
 {
   const std::lock_guard lock(this->mutex);
@@ -221,17 +221,17 @@
   const auto& events = this->cache.Events();
   aStart = events.empty() ? this->cache.NextSequence() : events.front().sequence;
   aEnd = aStart;
-  std::vector<CacheEvent> told;
+  std::vector<CacheEvent> published;
   for (const auto& event : events) {
     if (event.at > latest) {
       break;
     }
     aEnd = event.sequence + 1;
     if (event.sequence >= aFrom) {
-      told.push_back(event);
+      published.push_back(event);
     }
   }
-  return told;
+  return published;
 }
 
 void
@@ -239,14 +239,14 @@
 {
   Lock lock(this->mutex);
   while (!this->stopping) {
-    this->Reap();
+    this->RemoveExpiredStreams();
     this->SampleLoad();
     this->Admit();
     if (this->running.empty()) {
       this->lastStepEnd = {};
     }
     if (this->running.empty() || SteadyClock::now() < this->pausedUntil) {
-      this->changed.wait_for(lock, kIdleRound);
+      this->changed.wait_for(lock, kIdlePollInterval);
       continue;
     }
     this->Step(lock);
@@ -256,11 +256,11 @@
 void
 EngineCore::Step(Lock& aLock)
 {
-  // A step begins when the last one ended, so that the work of this thread does not slow the batch
+  // A step starts at the end of the previous one, so that the overhead of this thread does not slow the batch
   const auto now = SteadyClock::now();
-  const auto begin = now - this->lastStepEnd < kIdleRound ? this->lastStepEnd : now;
-  // Who takes part is fixed when the step begins
-  const auto shares = this->PlanPrefill();
+  const auto begin = now - this->lastStepEnd < kIdlePollInterval ? this->lastStepEnd : now;
+  // The participating streams are determined at the start of the step
+  const auto slices = this->PlanPrefill();
   std::vector<StreamPointer> generating;
   for (const auto& stream : this->running) {
     if (stream->prefillLeft == 0) {
@@ -268,23 +268,23 @@
     }
   }
   std::int64_t words = 0;
-  for (const auto& share : shares) {
-    words += share.words;
+  for (const auto& slice : slices) {
+    words += slice.words;
   }
-  // The step takes as long as the batch is large
-  const auto reading =
+  // The duration of the step depends on the batch size and the prefilled tokens
+  const auto prefillTime =
     std::chrono::microseconds(words * 1'000'000 / this->settings.prefillTokensPerSecond);
-  const auto length = this->settings.stepBase + reading +
+  const auto length = this->settings.stepBase + prefillTime +
                       this->settings.stepPerStream * static_cast<std::int64_t>(generating.size());
   this->lastStepEnd = begin + length;
   this->WaitUntil(aLock, this->lastStepEnd);
   if (this->stopping) {
     return;
   }
-  // Some may have been cancelled meanwhile
-  for (const auto& share : shares) {
-    if (share.stream->state == EngineStream::State::Running) {
-      this->ReadPrompt(share);
+  // Streams may have been cancelled while the step waited
+  for (const auto& slice : slices) {
+    if (slice.stream->state == EngineStream::State::Running) {
+      this->Prefill(slice);
     }
   }
   for (const auto& stream : generating) {
@@ -301,15 +301,15 @@
 }
 
 void
-EngineCore::ReadPrompt(const PrefillShare& aShare)
+EngineCore::Prefill(const PrefillSlice& aSlice)
 {
-  auto& stream = *aShare.stream;
+  auto& stream = *aSlice.stream;
   const auto from = std::max<std::int64_t>(0, stream.position - stream.prefillLeft);
-  stream.prefillLeft -= aShare.words;
-  this->counters.prefillComputed += aShare.words;
-  this->counters.recomputed += stream.progress->Compute(from, from + aShare.words);
+  stream.prefillLeft -= aSlice.words;
+  this->counters.prefillComputed += aSlice.words;
+  this->counters.recomputed += stream.progress->MarkComputed(from, from + aSlice.words);
   if (stream.prefillLeft == 0) {
-    this->PinWholeChain(aShare.stream);
+    this->PinCompleteBlocks(aSlice.stream);
   }
 }
 
@@ -318,18 +318,19 @@
 {
   auto& stream = *aStream;
   const auto index = static_cast<std::int64_t>(stream.tokens.size());
-  if (index < stream.length) {
-    stream.tokens.push_back(TokenText(stream.key, index));
+  if (index < stream.answerLength) {
+    stream.tokens.push_back(TokenText(stream.answerKey, index));
     this->AppendWord(stream, stream.tokens.back());
     ++this->counters.generated;
-    this->counters.recomputed += stream.progress->Compute(stream.position - 1, stream.position);
+    this->counters.recomputed +=
+      stream.progress->MarkComputed(stream.position - 1, stream.position);
     this->SendTokens(stream);
   }
-  if (index + 1 >= stream.length) {
+  if (index + 1 >= stream.answerLength) {
     this->Finish(aStream, EngineStream::State::Finished);
     return;
   }
-  this->PinWholeChain(aStream);
+  this->PinCompleteBlocks(aStream);
 }
 
 void
@@ -339,13 +340,13 @@
   aStream.partialBlock.emplace_back(
     aWord.substr(std::min(aWord.size(), aWord.find_first_not_of(' '))));
   if (aStream.partialBlock.size() == kBlockTokens) {
-    aStream.chain.push_back(ChainNext(aStream.chain.back(), aStream.partialBlock));
+    aStream.chain.push_back(NextChainHash(aStream.chain.back(), aStream.partialBlock));
     aStream.partialBlock.clear();
   }
 }
 
 void
-EngineCore::PinWholeChain(const StreamPointer& aStream)
+EngineCore::PinCompleteBlocks(const StreamPointer& aStream)
 {
   auto& stream = *aStream;
   while (stream.pinnedBlocks + 1 < stream.chain.size()) {
@@ -353,8 +354,8 @@
       ++stream.pinnedBlocks;
       continue;
     }
-    // Memory is full: somebody has to wait
-    const auto victim = this->LeastUrgentRunning();
+    // All KV memory is pinned: preempt the stream of lowest priority
+    const auto victim = this->LowestPriorityRunning();
     this->Preempt(victim);
     if (victim == aStream) {
       return;
@@ -374,7 +375,7 @@
 void
 EngineCore::Finish(const StreamPointer& aStream, EngineStream::State aState)
 {
-  this->Leave(aStream);
+  this->Unschedule(aStream);
   this->ReleaseBlocks(*aStream);
   aStream->state = aState;
   aStream->idleSince = SteadyClock::now();
@@ -385,23 +386,23 @@
 }
 
 void
-EngineCore::Reap()
+EngineCore::RemoveExpiredStreams()
 {
   const auto now = SteadyClock::now();
-  if (now < this->nextReap) {
+  if (now < this->nextExpiryCheck) {
     return;
   }
-  this->nextReap = now + kReapRound;
+  this->nextExpiryCheck = now + kExpiryCheckInterval;
   for (auto next = this->streams.begin(); next != this->streams.end();) {
     const auto stream = next->second;
     const bool active = stream->state == EngineStream::State::Waiting ||
                         stream->state == EngineStream::State::Running;
     const auto idle = now - stream->idleSince;
-    if (active && !stream->reader && idle > this->settings.orphanTime) {
+    if (active && !stream->reader && idle > this->settings.orphanTimeout) {
       this->Finish(stream, EngineStream::State::Cancelled);
     }
-    const bool old = !active && idle > this->settings.finishedKept;
-    next = old ? this->streams.erase(next) : std::next(next);
+    const bool expired = !active && idle > this->settings.finishedRetention;
+    next = expired ? this->streams.erase(next) : std::next(next);
   }
 }
 
@@ -418,9 +419,9 @@
 }
 
 void
-EngineCore::Attach(const StreamPointer& aStream, const Reader& aReader)
+EngineCore::WatchReader(const StreamPointer& aStream, const Reader& aReader)
 {
-  aReader->OnGone([this, stream = aStream, reader = aReader.get()] {
+  aReader->OnDisconnected([this, stream = aStream, reader = aReader.get()] {
     const std::lock_guard lock(this->mutex);
     if (stream->reader.get() == reader) {
       stream->reader = nullptr;
--- a/StandIns/Engine/EngineCore.h
+++ b/StandIns/Engine/EngineCore.h
@@ -15,25 +15,26 @@
 
 namespace lagoonward::standins {
 
-/// What an engine has done so far.
+/// Cumulative counters of an engine.
 struct EngineCounters
 {
-  std::int64_t accepted = 0;   ///< Completions begun.
-  std::int64_t refused = 0;    ///< Completions refused before anything ran.
-  std::int64_t reattached = 0; ///< Streams that a new reader took up.
-  std::int64_t finished = 0;   ///< Answers generated to their end.
+  std::int64_t accepted = 0;   ///< Completions accepted.
+  std::int64_t refused = 0;    ///< Completions refused before execution.
+  std::int64_t reattached = 0; ///< Streams continued by a new reader.
+  std::int64_t finished = 0;   ///< Answers generated completely.
   std::int64_t cancelled = 0;  ///< Streams cancelled, orphans included.
-  std::int64_t preempted = 0;  ///< Streams put back for a more urgent one or for lack of memory.
-  std::int64_t divergedResumes = 0; ///< Resumes whose tokens were not this answer's.
-  std::int64_t promptTokens = 0;    ///< Prompt and resume tokens asked for.
-  std::int64_t prefillComputed = 0; ///< Of those, computed here.
+  std::int64_t preempted =
+    0; ///< Streams requeued for one of higher priority or for lack of KV memory.
+  std::int64_t divergedResumes = 0; ///< Resumes whose tokens differ from the answer's.
+  std::int64_t promptTokens = 0;    ///< Prompt and resume tokens received.
+  std::int64_t prefillComputed = 0; ///< Of those, computed by this engine.
   std::int64_t prefillCached = 0;   ///< Of those, found in the prefix cache.
   std::int64_t generated = 0;       ///< Tokens generated.
   std::int64_t recomputed = 0;      ///< Positions computed that had been computed before.
 };
 
-/// Load of an engine at one moment.
-struct EngineLoadReading
+/// Load of an engine at one point in time.
+struct EngineLoadSample
 {
   std::size_t waiting = 0;
   std::size_t running = 0;
@@ -41,7 +42,7 @@
   std::int64_t asOfMs = 0; ///< Unix time.
 };
 
-/// Faults that strike one stream.
+/// Faults injected into one stream.
 struct StreamFaults
 {
   std::optional<Fault> cut;
@@ -49,8 +50,8 @@
   std::optional<Fault> skipped;
 };
 
-/// The batch of one engine: one thread takes one step after another, and each step reads a chunk of
-/// prompts and generates one token for every stream that is running. Safe from any thread.
+/// Continuous-batching loop of one engine: a dedicated thread executes steps, each of which prefills a
+/// chunk of the prompts and generates one token for every running stream. Thread-safe.
 class EngineCore
 {
 public:
@@ -61,40 +62,41 @@
   EngineCore& operator=(const EngineCore&) = delete;
   ~EngineCore();
 
-  /// Ends the thread. Streams stop where they are.
+  /// Joins the thread. Unfinished streams remain incomplete.
   void Stop();
 
-  /// Takes a completion in and answers its first event at once.
+  /// Queues a completion and sends its first event immediately.
   void Submit(CompletionRequest aRequest, StreamFaults aFaults, const Reader& aReader);
 
-  /// Gives a stream a new reader, from the token aFrom on.
-  /// @return an error for the caller, empty if it worked
+  /// Attaches a new reader to a stream, starting at token aFrom. A previous reader is disconnected.
+  /// @return an error kind for the caller; empty on success
   [[nodiscard]] std::string Reattach(const std::string& aStreamId, std::int64_t aFrom,
                                      const std::string& aAttemptId, const Reader& aReader);
 
-  /// Ends a stream early.
-  /// @return the tokens that it has, or nothing where there is no such stream
+  /// Cancels a stream.
+  /// @return the number of tokens generated, or nullopt if there is no such stream
   std::optional<std::int64_t> Cancel(const std::string& aStreamId);
 
-  /// Whole cache blocks of a stream, or nothing where there is no such stream.
+  /// Complete cache blocks of a stream, or nullopt if there is no such stream.
   [[nodiscard]] std::optional<std::vector<std::uint64_t>> Export(const std::string& aStreamId);
 
-  /// Puts blocks into the prefix cache.
-  /// @return how many found room
+  /// Adds blocks to the prefix cache.
+  /// @return how many were stored
   std::size_t Import(const std::vector<std::uint64_t>& aChain);
 
-  /// Generates nothing for this long.
+  /// Pauses generation for aLength.
   void Pause(std::chrono::milliseconds aLength);
 
   void DropCacheEvents();
   void CountRefusal();
 
-  /// The latest reading, up to the settings' lag old.
-  [[nodiscard]] EngineLoadReading Load();
+  /// The latest load sample; its age is at most the configured `loadLag`.
+  [[nodiscard]] EngineLoadSample Load();
   [[nodiscard]] EngineCounters Counters();
 
-  /// Cache events from aFrom on that are old enough to be told. Also the first kept and the next
-  /// sequence number.
+  /// Cache events from aFrom on that are at least `cacheEventDelay` old.
+  /// @param aStart  receives the sequence number of the oldest retained event
+  /// @param aEnd    receives the sequence number after the last event that may be reported
   [[nodiscard]] std::vector<CacheEvent> CacheEvents(std::int64_t aFrom, std::int64_t& aStart,
                                                     std::int64_t& aEnd);
 
@@ -102,8 +104,8 @@
   using StreamPointer = std::shared_ptr<EngineStream>;
   using Lock = std::unique_lock<std::mutex>;
 
-  /// What one step reads of one prompt.
-  struct PrefillShare
+  /// Part of one prompt that is prefilled in one step.
+  struct PrefillSlice
   {
     StreamPointer stream;
     std::int64_t words = 0;
@@ -117,23 +119,23 @@
   void Enqueue(const StreamPointer& aStream);
   void Admit();
   void Begin(const StreamPointer& aStream);
-  [[nodiscard]] StreamPointer LeastUrgentRunning() const;
+  [[nodiscard]] StreamPointer LowestPriorityRunning() const;
   void Preempt(const StreamPointer& aStream);
-  [[nodiscard]] std::vector<PrefillShare> PlanPrefill() const;
+  [[nodiscard]] std::vector<PrefillSlice> PlanPrefill() const;
 
-  // Work of a step
-  void ReadPrompt(const PrefillShare& aShare);
+  // Execution of a step
+  void Prefill(const PrefillSlice& aSlice);
   void Generate(const StreamPointer& aStream);
   void AppendWord(EngineStream& aStream, std::string_view aWord);
-  void PinWholeChain(const StreamPointer& aStream);
+  void PinCompleteBlocks(const StreamPointer& aStream);
   void ReleaseBlocks(EngineStream& aStream);
   void Finish(const StreamPointer& aStream, EngineStream::State aState);
-  void Leave(const StreamPointer& aStream);
-  void Reap();
+  void Unschedule(const StreamPointer& aStream);
+  void RemoveExpiredStreams();
   void SampleLoad();
 
-  // Towards the reader
-  void Attach(const StreamPointer& aStream, const Reader& aReader);
+  // Output to the reader
+  void WatchReader(const StreamPointer& aStream, const Reader& aReader);
   void SendFirst(EngineStream& aStream);
   void SendTokens(EngineStream& aStream);
   void SendLast(EngineStream& aStream);
@@ -144,16 +146,16 @@
   std::condition_variable changed;
   bool stopping = false;
   std::chrono::steady_clock::time_point pausedUntil;
-  std::chrono::steady_clock::time_point lastStepEnd; ///< Zero after a time with nothing to do.
-  std::chrono::steady_clock::time_point nextReap;
+  std::chrono::steady_clock::time_point lastStepEnd; ///< Zero after an idle period.
+  std::chrono::steady_clock::time_point nextExpiryCheck;
   std::chrono::steady_clock::time_point nextSample;
   PrefixCache cache;
-  std::map<std::string, StreamPointer> streams; ///< All that are known, by id.
-  std::vector<StreamPointer> waiting;           ///< Most urgent first.
+  std::map<std::string, StreamPointer> streams; ///< Active and recently ended streams, by id.
+  std::vector<StreamPointer> waiting;           ///< Highest priority first.
   std::vector<StreamPointer> running;
   std::int64_t arrivals = 0;
   EngineCounters counters;
-  EngineLoadReading lastLoad;
+  EngineLoadSample lastLoad;
   std::thread thread;
 };
 
--- a/StandIns/Engine/EngineEvents.cpp
+++ b/StandIns/Engine/EngineEvents.cpp
@@ -3,7 +3,7 @@
 #include <fmt/format.h>
 #include <nlohmann/json.hpp>
 
-// The part of EngineCore that speaks to a stream's reader.
+// The part of EngineCore that sends events to a stream's reader.
 
 namespace lagoonward::standins {
 
@@ -11,8 +11,8 @@
 
 using nlohmann::json;
 
-/// Attempt that crossed events name.
-constexpr std::string_view kStrangeAttempt = "attempt-of-somebody-else";
+/// Attempt id in the events that the `crossed` fault produces.
+constexpr std::string_view kForeignAttemptId = "attempt-of-somebody-else";
 
 std::string
 ToEvent(const json& aData)
@@ -20,7 +20,7 @@
   return "data: " + aData.dump() + "\n\n";
 }
 
-/// A token event. Token texts need no escaping.
+/// Appends a token event. Token texts need no JSON escaping.
 void
 AppendTokenEvent(std::string& aOut, std::int64_t aIndex, std::string_view aText)
 {
@@ -35,9 +35,10 @@
 }
 
 std::string_view
-AttemptFor(const EngineStream& aStream, std::string_view aMode)
+AttemptIdFor(const EngineStream& aStream, std::string_view aMode)
 {
-  return IsCrossed(aStream, aMode) ? kStrangeAttempt : std::string_view(aStream.request.attemptId);
+  return IsCrossed(aStream, aMode) ? kForeignAttemptId
+                                   : std::string_view(aStream.request.attemptId);
 }
 
 } // namespace
@@ -46,10 +47,10 @@
 EngineCore::SendFirst(EngineStream& aStream)
 {
   aStream.reader->BeginStream();
-  aStream.reader->Write(ToEvent({ { "attempt_id", AttemptFor(aStream, "first") },
+  aStream.reader->Write(ToEvent({ { "attempt_id", AttemptIdFor(aStream, "first") },
                                   { "stream_id", aStream.id },
                                   { "model", aStream.request.question.model },
-                                  { "version", aStream.request.askedVersion } }));
+                                  { "version", aStream.request.reportedVersion } }));
 }
 
 void
@@ -59,9 +60,9 @@
     return;
   }
   std::string events;
-  while (aStream.sent < static_cast<std::int64_t>(aStream.tokens.size())) {
-    const auto index = aStream.sent;
-    // Faults: the stream breaks off, leaves one out, or carries what belongs to another
+  while (aStream.nextToSend < static_cast<std::int64_t>(aStream.tokens.size())) {
+    const auto index = aStream.nextToSend;
+    // Injected faults: abort the stream, skip a token, or insert an event of another attempt
     if (aStream.cut && index >= aStream.cut->after) {
       aStream.reader->Write(events);
       aStream.reader->Abort();
@@ -70,16 +71,16 @@
     }
     if (aStream.skipped && index >= aStream.skipped->after) {
       aStream.skipped.reset();
-      ++aStream.sent;
+      ++aStream.nextToSend;
       continue;
     }
     if (IsCrossed(aStream, "middle") && index >= aStream.crossed->after) {
-      events +=
-        ToEvent({ { "attempt_id", kStrangeAttempt }, { "index", index }, { "text", " stranger" } });
+      events += ToEvent(
+        { { "attempt_id", kForeignAttemptId }, { "index", index }, { "text", " stranger" } });
       aStream.crossed.reset();
     }
     AppendTokenEvent(events, index, aStream.tokens[static_cast<std::size_t>(index)]);
-    ++aStream.sent;
+    ++aStream.nextToSend;
   }
   aStream.reader->Write(events);
 }
@@ -92,11 +93,11 @@
   }
   std::string_view reason = "cancelled";
   if (aStream.state == EngineStream::State::Finished) {
-    reason = aStream.length < aStream.request.maxTokens ? "stop" : "length";
+    reason = aStream.answerLength < aStream.request.maxTokens ? "stop" : "length";
   }
-  aStream.reader->Write(ToEvent({ { "attempt_id", AttemptFor(aStream, "last") },
+  aStream.reader->Write(ToEvent({ { "attempt_id", AttemptIdFor(aStream, "last") },
                                   { "model", aStream.request.question.model },
-                                  { "version", aStream.request.askedVersion },
+                                  { "version", aStream.request.reportedVersion },
                                   { "finish_reason", reason },
                                   { "token_count", aStream.tokens.size() } }));
   aStream.reader->End();
--- a/StandIns/Engine/HeldModels.cpp
+++ b/StandIns/Engine/EngineModels.cpp
@@ -1,4 +1,4 @@
-#include "StandIns/Engine/HeldModels.h"
+#include "StandIns/Engine/EngineModels.h"
 
 #include <algorithm>
 #include <stdexcept>
@@ -7,39 +7,40 @@
 
 namespace {
 
-/// Splits `NAME@VERSION`; the version is empty where there is no `@`.
-HeldAdapter
+/// Splits `NAME@VERSION`; the version is empty if there is no `@`.
+EngineAdapter
 SplitVersion(const std::string& aText)
 {
   const auto at = aText.find('@');
-  return at == std::string::npos ? HeldAdapter{ aText, {} }
-                                 : HeldAdapter{ aText.substr(0, at), aText.substr(at + 1) };
+  return at == std::string::npos ? EngineAdapter{ aText, {} }
+                                 : EngineAdapter{ aText.substr(0, at), aText.substr(at + 1) };
 }
 
 bool
-Matches(const HeldAdapter& aHeld, const HeldAdapter& aAsked)
+Matches(const EngineAdapter& aLoaded, const EngineAdapter& aRequested)
 {
-  return aHeld.name == aAsked.name && (aAsked.version.empty() || aHeld.version == aAsked.version);
+  return aLoaded.name == aRequested.name &&
+         (aRequested.version.empty() || aLoaded.version == aRequested.version);
 }
 
 bool
-IsSame(const HeldModel& aFirst, const HeldModel& aSecond)
+IsSame(const EngineModel& aFirst, const EngineModel& aSecond)
 {
   return aFirst.name == aSecond.name && aFirst.version == aSecond.version;
 }
 
 } // namespace
 
-HeldModel
-HeldModel::Parse(const std::string& aText)
+EngineModel
+EngineModel::Parse(const std::string& aText)
 {
-  HeldModel model;
+  EngineModel model;
   std::size_t begin = 0;
   while (begin <= aText.size()) {
     const auto end = std::min(aText.find('+', begin), aText.size());
     const auto part = SplitVersion(aText.substr(begin, end - begin));
     if (part.name.empty() || part.version.empty()) {
-      throw std::invalid_argument("not NAME@VERSION[+ADAPTER@VERSION]...: " + aText);
+      throw std::invalid_argument("expected NAME@VERSION[+ADAPTER@VERSION]..., got " + aText);
     }
     if (begin == 0) {
       model.name = part.name;
@@ -52,36 +53,37 @@
   return model;
 }
 
-HeldModels::HeldModels(std::vector<HeldModel> aModels)
+EngineModels::EngineModels(std::vector<EngineModel> aModels)
   : models(std::move(aModels))
 {
 }
 
 std::optional<Question>
-HeldModels::Resolve(const std::string& aModel, const std::string& aVersion,
-                    const std::string& aAdapter) const
+EngineModels::Resolve(const std::string& aModel, const std::string& aVersion,
+                      const std::string& aAdapter) const
 {
   const std::lock_guard lock(this->mutex);
-  auto asked = SplitVersion(aAdapter);
+  auto requested = SplitVersion(aAdapter);
   for (const auto& model : this->models) {
     if (model.name != aModel) {
       continue;
     }
-    const bool fits = aVersion.empty() || aVersion == model.version;
+    const bool versionMatches = aVersion.empty() || aVersion == model.version;
     if (aAdapter.empty()) {
-      if (fits) {
+      if (versionMatches) {
         return Question{ model.name, model.version, {}, 0, {} };
       }
       continue;
     }
-    // With an adapter the version may be the model's or the adapter's
-    const auto wanted =
-      fits || !asked.version.empty() ? asked : HeldAdapter{ asked.name, aVersion };
-    if (!fits && !asked.version.empty()) {
+    // If an adapter is given, the version may be the model's or the adapter's
+    const auto wantedAdapter = versionMatches || !requested.version.empty()
+                                 ? requested
+                                 : EngineAdapter{ requested.name, aVersion };
+    if (!versionMatches && !requested.version.empty()) {
       continue;
     }
     for (const auto& adapter : model.adapters) {
-      if (Matches(adapter, wanted)) {
+      if (Matches(adapter, wantedAdapter)) {
         return Question{ model.name, model.version, adapter.name + "@" + adapter.version, 0, {} };
       }
     }
@@ -90,33 +92,34 @@
 }
 
 void
-HeldModels::Add(const HeldModel& aModel)
+EngineModels::Add(const EngineModel& aModel)
 {
   const std::lock_guard lock(this->mutex);
-  const auto found = std::find_if(this->models.begin(), this->models.end(),
-                                  [&](const HeldModel& aHeld) { return IsSame(aHeld, aModel); });
+  const auto found =
+    std::find_if(this->models.begin(), this->models.end(),
+                 [&](const EngineModel& aLoaded) { return IsSame(aLoaded, aModel); });
   if (found == this->models.end()) {
     this->models.push_back(aModel);
     return;
   }
   for (const auto& adapter : aModel.adapters) {
-    const bool held =
+    const bool loaded =
       std::any_of(found->adapters.begin(), found->adapters.end(),
-                  [&](const HeldAdapter& aHeld) { return Matches(aHeld, adapter); });
-    if (!held) {
+                  [&](const EngineAdapter& aLoaded) { return Matches(aLoaded, adapter); });
+    if (!loaded) {
       found->adapters.push_back(adapter);
     }
   }
 }
 
 void
-HeldModels::Remove(const HeldModel& aModel)
+EngineModels::Remove(const EngineModel& aModel)
 {
   const std::lock_guard lock(this->mutex);
   if (aModel.adapters.empty()) {
     this->models.erase(
       std::remove_if(this->models.begin(), this->models.end(),
-                     [&](const HeldModel& aHeld) { return IsSame(aHeld, aModel); }),
+                     [&](const EngineModel& aLoaded) { return IsSame(aLoaded, aModel); }),
       this->models.end());
     return;
   }
@@ -127,14 +130,14 @@
     for (const auto& adapter : aModel.adapters) {
       model.adapters.erase(
         std::remove_if(model.adapters.begin(), model.adapters.end(),
-                       [&](const HeldAdapter& aHeld) { return Matches(aHeld, adapter); }),
+                       [&](const EngineAdapter& aLoaded) { return Matches(aLoaded, adapter); }),
         model.adapters.end());
     }
   }
 }
 
-std::vector<HeldModel>
-HeldModels::List() const
+std::vector<EngineModel>
+EngineModels::List() const
 {
   const std::lock_guard lock(this->mutex);
   return this->models;
--- a/StandIns/Engine/EngineScheduling.cpp
+++ b/StandIns/Engine/EngineScheduling.cpp
@@ -3,15 +3,15 @@
 #include <algorithm>
 #include <span>
 
-// The part of EngineCore that decides which streams run, and what of their prompts a step reads.
+// The part of EngineCore that selects the running streams and the prompt tokens that a step prefills.
 
 namespace lagoonward::standins {
 
 namespace {
 
 bool
-IsMoreUrgent(const std::shared_ptr<EngineStream>& aFirst,
-             const std::shared_ptr<EngineStream>& aSecond)
+HasHigherPriority(const std::shared_ptr<EngineStream>& aFirst,
+                  const std::shared_ptr<EngineStream>& aSecond)
 {
   if (aFirst->request.priority != aSecond->request.priority) {
     return aFirst->request.priority > aSecond->request.priority;
@@ -33,7 +33,7 @@
 {
   aStream->state = EngineStream::State::Waiting;
   const auto place =
-    std::upper_bound(this->waiting.begin(), this->waiting.end(), aStream, &IsMoreUrgent);
+    std::upper_bound(this->waiting.begin(), this->waiting.end(), aStream, &HasHigherPriority);
   this->waiting.insert(place, aStream);
 }
 
@@ -43,7 +43,7 @@
   while (!this->waiting.empty()) {
     const auto next = this->waiting.front();
     if (static_cast<int>(this->running.size()) >= this->settings.maxBatch) {
-      const auto victim = this->LeastUrgentRunning();
+      const auto victim = this->LowestPriorityRunning();
       if (victim->request.priority >= next->request.priority) {
         return;
       }
@@ -59,22 +59,22 @@
 {
   aStream->state = EngineStream::State::Running;
   this->running.push_back(aStream);
-  // What the cache holds need not be read again
+  // Blocks that are in the cache need no prefill
   const auto blocks = std::span<const std::uint64_t>(aStream->chain).subspan(1);
   const auto matched = this->cache.Match(blocks);
   aStream->pinnedBlocks = 0;
   while (aStream->pinnedBlocks < matched && this->cache.Pin(blocks[aStream->pinnedBlocks])) {
     ++aStream->pinnedBlocks;
   }
-  const auto held = static_cast<std::int64_t>(aStream->pinnedBlocks * kBlockTokens);
-  this->counters.prefillCached += held;
-  aStream->prefillLeft = std::max<std::int64_t>(1, aStream->position - held);
+  const auto cached = static_cast<std::int64_t>(aStream->pinnedBlocks * kBlockTokens);
+  this->counters.prefillCached += cached;
+  aStream->prefillLeft = std::max<std::int64_t>(1, aStream->position - cached);
 }
 
 EngineCore::StreamPointer
-EngineCore::LeastUrgentRunning() const
+EngineCore::LowestPriorityRunning() const
 {
-  return *std::max_element(this->running.begin(), this->running.end(), &IsMoreUrgent);
+  return *std::max_element(this->running.begin(), this->running.end(), &HasHigherPriority);
 }
 
 void
@@ -86,25 +86,25 @@
   this->Enqueue(aStream);
 }
 
-std::vector<EngineCore::PrefillShare>
+std::vector<EngineCore::PrefillSlice>
 EngineCore::PlanPrefill() const
 {
   auto order = this->running;
-  std::sort(order.begin(), order.end(), &IsMoreUrgent);
-  std::vector<PrefillShare> shares;
+  std::sort(order.begin(), order.end(), &HasHigherPriority);
+  std::vector<PrefillSlice> slices;
   auto budget = this->settings.prefillChunk;
   for (const auto& stream : order) {
     const auto words = std::min(budget, stream->prefillLeft);
     if (words > 0) {
-      shares.push_back({ stream, words });
+      slices.push_back({ stream, words });
       budget -= words;
     }
   }
-  return shares;
+  return slices;
 }
 
 void
-EngineCore::Leave(const StreamPointer& aStream)
+EngineCore::Unschedule(const StreamPointer& aStream)
 {
   EraseValue(this->waiting, aStream);
   EraseValue(this->running, aStream);
--- a/StandIns/Engine/EngineStandIn.cpp
+++ b/StandIns/Engine/EngineStandIn.cpp
@@ -11,16 +11,16 @@
 
 using nlohmann::json;
 
-/// Time for one fetch of KV or weights.
+/// Timeout of one fetch of KV or weights.
 constexpr std::chrono::seconds kFetchTimeout{ 10 };
 
-/// A load order asks the weight store so often before it gives up.
-constexpr int kWeightTries = 20;
+/// Maximum number of retries of a load order at the weight store before the order is abandoned.
+constexpr int kMaxWeightRetries = 20;
 
-/// Wait before the weight store is asked again, where it does not say.
-constexpr std::chrono::milliseconds kWeightRetry{ 200 };
+/// Minimum delay before the weight store is queried again.
+constexpr std::chrono::milliseconds kWeightRetryDelay{ 200 };
 
-/// What an engine can be told to show beyond the common faults.
+/// Fault kinds that engines implement in addition to the shared ones.
 const std::vector<std::string> kEngineFaults{ "refuse",    "cut",   "crossed", "skip_token",
                                               "cache_gap", "pause", "vanish",  "wrong_version" };
 
@@ -31,7 +31,7 @@
 }
 
 json
-ToJson(const HeldModel& aModel)
+ToJson(const EngineModel& aModel)
 {
   json adapters = json::array();
   for (const auto& adapter : aModel.adapters) {
@@ -40,7 +40,7 @@
   return { { "name", aModel.name }, { "version", aModel.version }, { "adapters", adapters } };
 }
 
-/// Throws json::exception where a field is missing or has the wrong type.
+/// Throws json::exception if a field is missing or has the wrong type.
 CompletionRequest
 ToCompletionRequest(const json& aJson)
 {
@@ -55,11 +55,11 @@
   return request;
 }
 
-/// Throws json::exception where a field is missing or has the wrong type.
-HeldModel
-ToHeldModel(const json& aOrder)
+/// Throws json::exception if a field is missing or has the wrong type.
+EngineModel
+ToEngineModel(const json& aOrder)
 {
-  HeldModel model;
+  EngineModel model;
   model.name = aOrder.at("model").get<std::string>();
   model.version = aOrder.at("version").get<std::string>();
   if (aOrder.contains("adapter")) {
@@ -83,36 +83,36 @@
     this->faults.Filter(aExchange, [this](const Exchange& aPassed) { this->Route(aPassed); });
   })
 {
-  this->faults.Attach(&this->server);
+  this->faults.AttachServer(&this->server);
   this->faults.OnImmediate("cache_gap", [this](const Fault&) { this->core.DropCacheEvents(); });
   this->faults.OnImmediate("pause",
                            [this](const Fault& aFault) { this->core.Pause(aFault.duration); });
   this->faults.OnImmediate("vanish", [this](const Fault& aFault) {
-    this->scheduler.After(aFault.duration, [this] { this->Vanish(); });
+    this->scheduler.After(aFault.duration, [this] { this->Terminate(); });
   });
 }
 
 EngineStandIn::~EngineStandIn()
 {
-  this->Vanish();
+  this->Terminate();
 }
 
 std::size_t
 EngineStandIn::Running()
 {
   const std::lock_guard lock(this->mutex);
-  return this->vanished ? 0 : this->core.Load().running;
+  return this->terminated ? 0 : this->core.Load().running;
 }
 
 void
-EngineStandIn::Vanish()
+EngineStandIn::Terminate()
 {
   {
     const std::lock_guard lock(this->mutex);
-    if (this->vanished) {
+    if (this->terminated) {
       return;
     }
-    this->vanished = true;
+    this->terminated = true;
   }
   this->background.Stop();
   this->core.Stop();
@@ -152,9 +152,10 @@
 EngineStandIn::Complete(const Exchange& aExchange)
 {
   const auto body = json::parse(aExchange->Request().body);
-  if (const auto refuse = this->faults.Take("refuse", aExchange->Request().path)) {
+  if (const auto refuse = this->faults.TryConsume("refuse", aExchange->Request().path)) {
     this->core.CountRefusal();
-    aExchange->Respond(503, ErrorBody("overloaded", "The engine takes nothing now."));
+    aExchange->Respond(503,
+                       ErrorBody("overloaded", "The engine does not accept requests at present."));
     return;
   }
   const auto streamId = body.value("stream_id", std::string());
@@ -171,13 +172,13 @@
                                                : std::string());
   if (!resolved) {
     this->core.CountRefusal();
-    aExchange->Respond(404, ErrorBody("unknown_model", "The engine does not hold this model."));
+    aExchange->Respond(404, ErrorBody("unknown_model", "The model is not loaded on this engine."));
     return;
   }
   request.question.model = resolved->model;
   request.question.version = resolved->version;
   request.question.adapter = resolved->adapter;
-  request.askedVersion = version.empty() ? resolved->version : version;
+  request.reportedVersion = version.empty() ? resolved->version : version;
   this->Submit(aExchange, std::move(request));
 }
 
@@ -188,7 +189,7 @@
   const auto error = this->core.Reattach(aStreamId, aFrom, aAttemptId, aExchange);
   if (!error.empty()) {
     const int status = error == "unknown_stream" ? 404 : 400;
-    aExchange->Respond(status, ErrorBody(error, "The stream cannot be taken up there."));
+    aExchange->Respond(status, ErrorBody(error, "The stream cannot be continued at this token."));
   }
   return error.empty();
 }
@@ -201,18 +202,19 @@
       (words + static_cast<std::size_t>(aRequest.maxTokens)) / kBlockTokens + 1 >
         this->settings.kvBlocks) {
     this->core.CountRefusal();
-    aExchange->Respond(400, ErrorBody("context_too_long", "The answer cannot fit in memory."));
+    aExchange->Respond(400,
+                       ErrorBody("context_too_long", "Prompt and answer exceed the KV memory."));
     return;
   }
   const auto& path = aExchange->Request().path;
-  StreamFaults struck;
-  struck.cut = this->faults.Take("cut", path);
-  struck.crossed = this->faults.Take("crossed", path);
-  struck.skipped = this->faults.Take("skip_token", path);
-  if (this->faults.Take("wrong_version", path)) {
-    aRequest.askedVersion = "version-of-somebody-else";
+  StreamFaults streamFaults;
+  streamFaults.cut = this->faults.TryConsume("cut", path);
+  streamFaults.crossed = this->faults.TryConsume("crossed", path);
+  streamFaults.skipped = this->faults.TryConsume("skip_token", path);
+  if (this->faults.TryConsume("wrong_version", path)) {
+    aRequest.reportedVersion = "version-of-somebody-else";
   }
-  this->core.Submit(std::move(aRequest), std::move(struck), aExchange);
+  this->core.Submit(std::move(aRequest), std::move(streamFaults), aExchange);
 }
 
 void
@@ -297,7 +299,7 @@
     aExchange->Respond(502, ErrorBody("kv_unavailable", error.what()));
     return;
   }
-  // The bytes themselves do not exist; the time that they take does
+  // No KV data is transferred; only the duration of the transfer is simulated
   const std::chrono::milliseconds transfer(bytes * 1000 / this->settings.kvBytesPerSecond);
   this->background.After(transfer, [this, aExchange, aKvId, bytes, chain = std::move(chain)] {
     const auto stored = this->core.Import(chain);
@@ -351,15 +353,16 @@
     const std::lock_guard lock(this->mutex);
     if (this->settings.fenced && number < this->fencing) {
       ++this->ordersRefused;
-      aExchange->Respond(409, json{ { "error",
-                                      { { "kind", "stale_fencing" },
-                                        { "message", "A newer order giver is known." },
-                                        { "fencing", this->fencing } } } }
-                                .dump());
+      aExchange->Respond(
+        409, json{ { "error",
+                     { { "kind", "stale_fencing" },
+                       { "message", "An order with a higher fencing number has been accepted." },
+                       { "fencing", this->fencing } } } }
+               .dump());
       return;
     }
     this->fencing = std::max(this->fencing, number);
-    // The same order again changes nothing
+    // A repeated order has no effect
     if (!this->orders.emplace(id, number).second) {
       aExchange->Respond(200, json{ { "order_id", id }, { "state", "known" } }.dump());
       return;
@@ -369,11 +372,11 @@
     }
   }
   if (kind == "load") {
-    const auto model = ToHeldModel(body);
+    const auto model = ToEngineModel(body);
     this->background.After(std::chrono::milliseconds(0),
-                           [this, model] { this->CarryOutLoad(model, kWeightTries); });
+                           [this, model] { this->ExecuteLoadOrder(model, kMaxWeightRetries); });
   } else if (kind == "unload") {
-    this->models.Remove(ToHeldModel(body));
+    this->models.Remove(ToEngineModel(body));
   } else if (kind != "role") {
     aExchange->Respond(400, ErrorBody("invalid_request", "No such kind of order: " + kind));
     return;
@@ -382,17 +385,17 @@
 }
 
 void
-EngineStandIn::CarryOutLoad(const HeldModel& aModel, int aTriesLeft)
+EngineStandIn::ExecuteLoadOrder(const EngineModel& aModel, int aAttemptsLeft)
 {
   if (!this->settings.weightStoreUrl.empty()) {
     const auto url =
       fmt::format("{}/weights/{}/{}", this->settings.weightStoreUrl, aModel.name, aModel.version);
     const auto answer = Fetch("GET", url, {}, kFetchTimeout);
     if (answer.status != 200) {
-      if (aTriesLeft > 0) {
+      if (aAttemptsLeft > 0) {
         this->background.After(
-          std::max(answer.retryAfter, kWeightRetry),
-          [this, aModel, aTriesLeft] { this->CarryOutLoad(aModel, aTriesLeft - 1); });
+          std::max(answer.retryAfter, kWeightRetryDelay),
+          [this, aModel, aAttemptsLeft] { this->ExecuteLoadOrder(aModel, aAttemptsLeft - 1); });
       }
       return;
     }
--- a/StandIns/Engine/EngineStandIn.h
+++ b/StandIns/Engine/EngineStandIn.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "StandIns/Engine/EngineCore.h"
-#include "StandIns/Engine/HeldModels.h"
+#include "StandIns/Engine/EngineModels.h"
 #include "StandIns/Faults.h"
 
 #include <map>
@@ -12,11 +12,11 @@
 
 namespace lagoonward::standins {
 
-/// One model engine behind its HTTP interface; docs/INTERFACES.md has the formats.
+/// Simulated model engine with its HTTP interface; docs/INTERFACES.md specifies the formats.
 class EngineStandIn
 {
 public:
-  /// Listens at once. The scheduler and the ledger may serve many engines.
+  /// Starts listening. Several engines may share the scheduler and the ledger.
   EngineStandIn(EngineSettings aSettings, const ListenAddress& aListen, Scheduler& aScheduler,
                 ComputeLedger& aLedger);
   ~EngineStandIn();
@@ -25,16 +25,17 @@
   [[nodiscard]] const EngineSettings& Settings() const { return this->settings; }
   [[nodiscard]] EngineCounters Counters() { return this->core.Counters(); }
 
-  /// Streams that run, as of the latest load reading; none once it has vanished.
+  /// Number of running streams in the latest load sample; zero after Terminate().
   [[nodiscard]] std::size_t Running();
 
-  /// The host is gone: nothing listens and every connection is cut. Not from a handler.
-  void Vanish();
+  /// Simulates the loss of the host: stops listening and closes every connection. Must not be called from
+  /// a handler.
+  void Terminate();
 
 private:
   using Exchange = Faults::Exchange;
 
-  /// A KV cache that was exported, waiting to be fetched.
+  /// An exported KV cache that can be fetched.
   struct ExportedKv
   {
     std::vector<std::uint64_t> chain;
@@ -54,24 +55,25 @@
   void AnswerLoad(const Exchange& aExchange);
   void AnswerCacheEvents(const Exchange& aExchange);
   void AnswerOrder(const Exchange& aExchange);
-  void CarryOutLoad(const HeldModel& aModel, int aTriesLeft);
+  void ExecuteLoadOrder(const EngineModel& aModel, int aAttemptsLeft);
   void AnswerStats(const Exchange& aExchange);
 
   const EngineSettings settings;
   Scheduler& scheduler;
   Faults faults;
-  HeldModels models;
+  EngineModels models;
   EngineCore core;
   std::mutex mutex;
-  std::int64_t fencing = -1; ///< Highest number seen.
+  std::int64_t fencing = -1; ///< Highest fencing number received.
   std::string role;
-  std::map<std::string, std::int64_t> orders; ///< Orders taken, by id, with their number.
+  std::map<std::string, std::int64_t>
+    orders; ///< Fencing numbers of the accepted orders, by order id.
   std::map<std::string, ExportedKv> exported;
   std::int64_t ordersRefused = 0;
   std::int64_t nextKv = 0;
-  bool vanished = false;
+  bool terminated = false;
   HttpServer server;
-  Scheduler background; ///< Blocking work: fetching KV and weights.
+  Scheduler background; ///< Runs blocking work: fetches of KV caches and weights.
 };
 
 } // namespace lagoonward::standins
--- a/StandIns/Engine/PrefixCache.cpp
+++ b/StandIns/Engine/PrefixCache.cpp
@@ -2,9 +2,9 @@
 
 namespace lagoonward::standins {
 
-PrefixCache::PrefixCache(std::size_t aCapacity, std::size_t aEventsKept)
+PrefixCache::PrefixCache(std::size_t aCapacity, std::size_t aMaxEvents)
   : capacity(aCapacity)
-  , eventsKept(aEventsKept)
+  , maxEvents(aMaxEvents)
 {
 }
 
@@ -24,7 +24,7 @@
   const auto found = this->entries.find(aBlock);
   if (found != this->entries.end()) {
     if (found->second.pins++ == 0) {
-      this->unused.erase(found->second.place);
+      this->unused.erase(found->second.lruPosition);
       ++this->pinned;
     }
     return true;
@@ -34,7 +34,7 @@
   }
   this->entries[aBlock].pins = 1;
   ++this->pinned;
-  this->Tell(true, aBlock);
+  this->RecordEvent(true, aBlock);
   return true;
 }
 
@@ -43,7 +43,7 @@
 {
   auto& entry = this->entries.at(aBlock);
   if (--entry.pins == 0) {
-    entry.place = this->unused.insert(this->unused.end(), aBlock);
+    entry.lruPosition = this->unused.insert(this->unused.end(), aBlock);
     --this->pinned;
   }
 }
@@ -66,16 +66,16 @@
   const auto oldest = this->unused.front();
   this->unused.pop_front();
   this->entries.erase(oldest);
-  this->Tell(false, oldest);
+  this->RecordEvent(false, oldest);
   return true;
 }
 
 void
-PrefixCache::Tell(bool aStored, std::uint64_t aBlock)
+PrefixCache::RecordEvent(bool aStored, std::uint64_t aBlock)
 {
   this->events.push_back(
     { this->nextSequence++, aStored, aBlock, std::chrono::steady_clock::now() });
-  if (this->events.size() > this->eventsKept) {
+  if (this->events.size() > this->maxEvents) {
     this->events.pop_front();
   }
 }
--- a/StandIns/Engine/PrefixCache.h
+++ b/StandIns/Engine/PrefixCache.h
@@ -10,7 +10,7 @@
 
 namespace lagoonward::standins {
 
-/// One change of the cache, as `GET /v1/cache-events` tells it.
+/// One change of the cache, as reported by `GET /v1/cache-events`.
 struct CacheEvent
 {
   std::int64_t sequence = 0;
@@ -19,26 +19,26 @@
   std::chrono::steady_clock::time_point at;
 };
 
-/// An engine's KV memory: a limited number of blocks, each known by its chain hash. Blocks in use are
-/// pinned; the others stay as prefix cache until room is needed, the least recently used go first.
-/// Not thread safe.
+/// KV memory of an engine: a limited number of blocks, identified by their chain hash. Blocks in use are
+/// pinned; the others remain as prefix cache until memory is needed and are evicted in LRU order.
+/// Not thread-safe.
 class PrefixCache
 {
 public:
-  /// @param aCapacity    blocks that fit
-  /// @param aEventsKept  events that are kept for readers who come late
-  PrefixCache(std::size_t aCapacity, std::size_t aEventsKept);
+  /// @param aCapacity   maximum number of blocks
+  /// @param aMaxEvents  number of events that are retained for readers
+  PrefixCache(std::size_t aCapacity, std::size_t aMaxEvents);
 
-  /// How many of the leading blocks are here. Pins nothing.
+  /// Number of leading blocks of the chain that are cached. Pins nothing.
   [[nodiscard]] std::size_t Match(std::span<const std::uint64_t> aChain) const;
 
-  /// Pins the block, storing it first where it is new. False when all memory is pinned.
+  /// Pins the block and stores it first if it is new. Returns false if all memory is pinned.
   [[nodiscard]] bool Pin(std::uint64_t aBlock);
 
-  /// Gives back one pin.
+  /// Releases one pin.
   void Unpin(std::uint64_t aBlock);
 
-  /// Forgets all kept events, so that every reader finds a gap.
+  /// Discards all retained events, so that every reader sees a gap.
   void DropEvents();
 
   [[nodiscard]] std::size_t Pinned() const { return this->pinned; }
@@ -50,14 +50,15 @@
   struct Entry
   {
     int pins = 0;
-    std::list<std::uint64_t>::iterator place; ///< In `unused`, only while there is no pin.
+    std::list<std::uint64_t>::iterator
+      lruPosition; ///< Position in `unused`; valid only while there is no pin.
   };
 
   [[nodiscard]] bool MakeRoom();
-  void Tell(bool aStored, std::uint64_t aBlock);
+  void RecordEvent(bool aStored, std::uint64_t aBlock);
 
   std::size_t capacity;
-  std::size_t eventsKept;
+  std::size_t maxEvents;
   std::size_t pinned = 0;
   std::unordered_map<std::uint64_t, Entry> entries;
   std::list<std::uint64_t> unused; ///< Least recently used first.
--- a/StandIns/Engine/TokenFunction.cpp
+++ b/StandIns/Engine/TokenFunction.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-/// One answer in so many ends before its limit.
+/// One answer in this many ends before its limit.
 constexpr std::uint64_t kEarlyStopPeriod = 4;
 
-/// Digits of a token are taken from this many low bits of its hash.
+/// Mask of the low bits of the hash that give a token's digits.
 constexpr std::uint64_t kTokenMask = 0xffffff;
 
 } // namespace
@@ -72,14 +72,14 @@
 }
 
 std::uint64_t
-ChainStart(const Question& aQuestion)
+InitialChainHash(const Question& aQuestion)
 {
   const auto model = CombineHashes(HashBytes(aQuestion.model), HashBytes(aQuestion.version));
   return CombineHashes(model, HashBytes(aQuestion.adapter));
 }
 
 std::uint64_t
-ChainNext(std::uint64_t aPrevious, const std::vector<std::string>& aWords)
+NextChainHash(std::uint64_t aPrevious, const std::vector<std::string>& aWords)
 {
   return CombineHashes(aPrevious, HashBytes(fmt::format("{}", fmt::join(aWords, " "))));
 }
--- a/StandIns/Engine/TokenFunction.h
+++ b/StandIns/Engine/TokenFunction.h
@@ -7,8 +7,8 @@
 
 namespace lagoonward::standins {
 
-/// Everything that an engine's answer depends on. Two runs with equal questions give equal answers,
-/// so a test can work out what an answer must be.
+/// All inputs that determine an engine's answer. Equal questions give equal answers, so that a test can
+/// compute the expected answer.
 struct Question
 {
   std::string model;
@@ -18,10 +18,10 @@
   std::string prompt;
 };
 
-/// Tokens that one cache block stands for.
+/// Number of tokens in a cache block.
 inline constexpr std::size_t kBlockTokens = 16;
 
-/// The number from which all tokens of an answer follow.
+/// Hash of the question, from which all tokens of the answer are derived.
 [[nodiscard]] std::uint64_t
 AnswerKey(const Question& aQuestion);
 
@@ -29,32 +29,33 @@
 [[nodiscard]] std::string
 TokenText(std::uint64_t aAnswerKey, std::int64_t aIndex);
 
-/// How many tokens the answer has. One answer in four ends by itself ("stop") between half of
-/// aMaxTokens and all of them; the others are cut at aMaxTokens ("length").
+/// Number of tokens of the answer. One answer in four ends ("stop") after between half of aMaxTokens and
+/// aMaxTokens; the others are truncated at aMaxTokens ("length").
 [[nodiscard]] std::int64_t
 AnswerLength(std::uint64_t aAnswerKey, std::int64_t aMaxTokens);
 
-/// The whole text that a caller must get.
+/// The complete text that a caller must receive.
 [[nodiscard]] std::string
 AnswerText(const Question& aQuestion, std::int64_t aMaxTokens);
 
-/// The words of a text, split at white space. One word is one prompt token.
+/// Splits a text at white space. One word is one prompt token.
 [[nodiscard]] std::vector<std::string_view>
 SplitWords(std::string_view aText);
 
-/// First link of a block chain: the caches of different models and adapters share nothing.
+/// Initial hash of a block chain. It depends on model, version and adapter, so that their caches share no
+/// blocks.
 [[nodiscard]] std::uint64_t
-ChainStart(const Question& aQuestion);
+InitialChainHash(const Question& aQuestion);
 
-/// Next link: covers everything before it and the words of one whole block.
+/// Hash of the next block: covers the preceding chain and the words of one complete block.
 [[nodiscard]] std::uint64_t
-ChainNext(std::uint64_t aPrevious, const std::vector<std::string>& aWords);
+NextChainHash(std::uint64_t aPrevious, const std::vector<std::string>& aWords);
 
-/// What a plain service answers to a body on a path; see ServiceStandIn.
+/// Result of a plain service for a body and a path; see ServiceStandIn.
 [[nodiscard]] std::string
 ServiceResult(std::string_view aName, std::string_view aPath, std::string_view aBody);
 
-/// Under which a plain service counts how often it executed a body.
+/// Key under which a plain service counts the executions of a body.
 [[nodiscard]] std::string
 ExecutionKey(std::string_view aBody);
 
--- a/StandIns/Faults.cpp
+++ b/StandIns/Faults.cpp
@@ -26,7 +26,7 @@
            { "path", aFault.path },  { "after", aFault.after }, { "mode", aFault.mode } };
 }
 
-/// Throws json::exception where a field has the wrong type.
+/// Throws json::exception if a field has the wrong type.
 Fault
 ToFault(const json& aJson)
 {
@@ -37,7 +37,7 @@
   fault.path = aJson.value("path", std::string());
   fault.after = aJson.value("after", std::int64_t{ 0 });
   fault.mode = aJson.value("mode", std::string());
-  fault.asked = std::chrono::steady_clock::now();
+  fault.requestedAt = std::chrono::steady_clock::now();
   return fault;
 }
 
@@ -56,7 +56,7 @@
 }
 
 void
-Faults::Attach(HttpServer* aServer)
+Faults::AttachServer(HttpServer* aServer)
 {
   const std::lock_guard lock(this->mutex);
   this->server = aServer;
@@ -65,7 +65,7 @@
 void
 Faults::OnImmediate(std::string aKind, std::function<void(const Fault&)> aAction)
 {
-  this->immediate.emplace_back(std::move(aKind), std::move(aAction));
+  this->immediateActions.emplace_back(std::move(aKind), std::move(aAction));
 }
 
 void
@@ -76,17 +76,17 @@
     this->HandleControl(aExchange);
     return;
   }
-  if (this->IsOut(aExchange)) {
+  if (this->TryApplyOutage(aExchange)) {
     return;
   }
-  if (this->Take("hang", path)) {
-    return; // accepted, never answered
+  if (this->TryConsume("hang", path)) {
+    return; // the request is accepted and never answered
   }
-  if (this->Take("lost_answer", path)) {
-    // The work is done on the handler's side; what it answers is dropped with the connection
+  if (this->TryConsume("lost_answer", path)) {
+    // The handler executes the request; its response is discarded and the connection closed
     aExchange->DropAnswer();
   }
-  if (const auto slow = this->Take("slow", path)) {
+  if (const auto slow = this->TryConsume("slow", path)) {
     this->scheduler.After(slow->duration, [aExchange, aHandler] { aHandler(aExchange); });
     return;
   }
@@ -94,7 +94,7 @@
 }
 
 bool
-Faults::IsOut(const Exchange& aExchange)
+Faults::TryApplyOutage(const Exchange& aExchange)
 {
   std::string mode;
   {
@@ -102,7 +102,7 @@
     const auto now = std::chrono::steady_clock::now();
     const auto found =
       std::find_if(this->faults.begin(), this->faults.end(), [&](const Fault& aFault) {
-        return aFault.kind == "outage" && now < aFault.asked + aFault.duration &&
+        return aFault.kind == "outage" && now < aFault.requestedAt + aFault.duration &&
                StartsWith(aExchange->Request().path, aFault.path);
       });
     if (found == this->faults.end()) {
@@ -117,12 +117,12 @@
     aExchange->Abort();
     return true;
   }
-  aExchange->Respond(503, ErrorBody("outage", "The service is away."));
+  aExchange->Respond(503, ErrorBody("outage", "The service is unavailable."));
   return true;
 }
 
 std::optional<Fault>
-Faults::Take(std::string_view aKind, std::string_view aPath)
+Faults::TryConsume(std::string_view aKind, std::string_view aPath)
 {
   const std::lock_guard lock(this->mutex);
   const auto found =
@@ -144,7 +144,7 @@
 {
   const auto& method = aExchange->Request().method;
   if (method == "POST") {
-    this->Accept(aExchange);
+    this->Add(aExchange);
     return;
   }
   json list = json::array();
@@ -168,7 +168,7 @@
 }
 
 void
-Faults::Accept(const Exchange& aExchange)
+Faults::Add(const Exchange& aExchange)
 {
   Fault fault;
   try {
@@ -188,7 +188,7 @@
 void
 Faults::Apply(const Fault& aFault, const Exchange& aExchange)
 {
-  // Some act at once, on what is open now
+  // `silent` and the registered kinds take effect immediately, on the current state
   if (aFault.kind == "silent") {
     const std::lock_guard lock(this->mutex);
     if (this->server != nullptr) {
@@ -196,7 +196,7 @@
     }
     return;
   }
-  for (const auto& [kind, action] : this->immediate) {
+  for (const auto& [kind, action] : this->immediateActions) {
     if (kind == aFault.kind) {
       action(aFault);
       return;
--- a/StandIns/Faults.h
+++ b/StandIns/Faults.h
@@ -14,59 +14,62 @@
 
 namespace lagoonward::standins {
 
-/// One fault that was asked for: `{"fault":…, "count":…, "ms":…, "path":…, "after":…, "mode":…}`.
+/// One injected fault, as posted to `/faults`:
+/// `{"fault":…, "count":…, "ms":…, "path":…, "after":…, "mode":…}`.
 struct Fault
 {
   std::string kind;
-  std::int64_t count = 1;                  ///< Requests that it still strikes.
+  std::int64_t count = 1;                  ///< Remaining requests that it applies to.
   std::chrono::milliseconds duration{ 0 }; ///< `ms`: length of the delay or of the outage.
-  std::string path;                        ///< Strikes only paths that begin so.
-  std::int64_t after = 0;                  ///< Tokens that a struck stream still sends.
-  std::string mode;                        ///< Variant of the fault.
-  std::chrono::steady_clock::time_point asked;
+  std::string path;                        ///< Applies only to paths with this prefix.
+  std::int64_t after = 0; ///< Tokens that an affected stream sends before the fault.
+  std::string mode;       ///< Variant of the fault.
+  std::chrono::steady_clock::time_point requestedAt;
 };
 
-/// The faults that one stand-in has been asked to show, and how the ones that every stand-in knows
-/// are carried out. Set at run time through `POST /faults`, listed by `GET /faults`, removed by
-/// `DELETE /faults`. Safe from any thread.
+/// Fault injection of one stand-in: holds the active faults and implements those that all stand-ins
+/// share. Faults are added at run time through `POST /faults`, listed by `GET /faults` and removed by
+/// `DELETE /faults`. Thread-safe.
 ///
-/// Known everywhere: `slow`, `hang`, `lost_answer`, `outage`, `silent`. A stand-in names the kinds
-/// that it carries out besides.
+/// Shared faults: `slow`, `hang`, `lost_answer`, `outage`, `silent`. A stand-in passes the additional
+/// kinds that it implements itself to the constructor.
 class Faults
 {
 public:
   using Exchange = std::shared_ptr<HttpExchange>;
   using Handler = std::function<void(const Exchange&)>;
 
-  /// @param aOwnKinds  faults that the stand-in takes for itself with Take()
+  /// @param aOwnKinds  faults that the stand-in implements itself, through TryConsume() or OnImmediate()
   Faults(Scheduler& aScheduler, std::vector<std::string> aOwnKinds);
 
-  /// Which server `silent` strikes.
-  void Attach(HttpServer* aServer);
+  /// Sets the server whose connections the `silent` fault applies to.
+  void AttachServer(HttpServer* aServer);
 
-  /// Handles `/faults` itself, applies the common faults, and passes the request on to aHandler
-  /// unless a fault has swallowed it.
+  /// Handles `/faults` itself, applies the shared faults, and passes the request on to aHandler
+  /// unless a fault suppresses it.
   void Filter(const Exchange& aExchange, const Handler& aHandler);
 
-  /// Counts down and returns the oldest matching fault of that kind.
-  [[nodiscard]] std::optional<Fault> Take(std::string_view aKind, std::string_view aPath);
+  /// Returns the oldest fault of this kind that matches the path and decrements its count; nullopt if
+  /// there is none.
+  [[nodiscard]] std::optional<Fault> TryConsume(std::string_view aKind, std::string_view aPath);
 
-  /// Called with each accepted fault of the stand-in's own kinds that acts at once.
+  /// Registers an action for one of the stand-in's own kinds. It runs as soon as such a fault is posted;
+  /// the fault is not stored. Not thread-safe: call it during construction.
   void OnImmediate(std::string aKind, std::function<void(const Fault&)> aAction);
 
 private:
   void HandleControl(const Exchange& aExchange);
-  void Accept(const Exchange& aExchange);
+  void Add(const Exchange& aExchange);
   void Apply(const Fault& aFault, const Exchange& aExchange);
   [[nodiscard]] bool IsKnown(const std::string& aKind) const;
-  [[nodiscard]] bool IsOut(const Exchange& aExchange);
+  [[nodiscard]] bool TryApplyOutage(const Exchange& aExchange);
 
   Scheduler& scheduler;
   std::vector<std::string> ownKinds;
   std::mutex mutex;
   HttpServer* server = nullptr;
   std::vector<Fault> faults;
-  std::vector<std::pair<std::string, std::function<void(const Fault&)>>> immediate;
+  std::vector<std::pair<std::string, std::function<void(const Fault&)>>> immediateActions;
 };
 
 /// `{"error":{"kind":aKind,"message":aMessage}}`.
--- a/StandIns/Fleet/FleetStandIn.cpp
+++ b/StandIns/Fleet/FleetStandIn.cpp
@@ -35,12 +35,12 @@
   : settings(aSettings)
   , scheduler(aScheduler)
 {
-  CloudStandIn::Machinery machinery;
-  machinery.start = [this](CloudHost& aHost) { return this->Start(aHost); };
-  machinery.remove = [this](const CloudHost& aHost) { this->Remove(aHost); };
-  machinery.describe = [this] { return this->Describe(); };
+  CloudStandIn::HostCallbacks callbacks;
+  callbacks.start = [this](CloudHost& aHost) { return this->Start(aHost); };
+  callbacks.remove = [this](const CloudHost& aHost) { this->Remove(aHost); };
+  callbacks.describe = [this] { return this->Describe(); };
   this->platform = std::make_unique<PlatformStandIn>(aSettings.platform, aSettings.listen,
-                                                     aScheduler, std::move(machinery));
+                                                     aScheduler, std::move(callbacks));
   for (int index = 0; index < aSettings.engines; ++index) {
     this->StartInitial("engine", {}, index);
   }
@@ -62,10 +62,10 @@
   this->platform->Stop();
   const std::lock_guard lock(this->mutex);
   for (const auto& engine : this->engines) {
-    engine->Vanish();
+    engine->Terminate();
   }
   for (const auto& service : this->services) {
-    service->Vanish();
+    service->Terminate();
   }
 }
 
@@ -97,7 +97,7 @@
     auto engine = this->settings.engine;
     engine.id = aHost.id;
     engine.failureDomain = aHost.failureDomain;
-    // A host that the cloud starts later holds nothing until it is ordered to
+    // Hosts that the cloud starts later have no models until they receive load orders
     if (!aHost.id.starts_with("engine-")) {
       engine.models.clear();
     }
@@ -126,12 +126,12 @@
   const std::lock_guard lock(this->mutex);
   for (const auto& engine : this->engines) {
     if (engine->Settings().id == aHost.id) {
-      engine->Vanish();
+      engine->Terminate();
     }
   }
   for (const auto& service : this->services) {
     if (service->Settings().id == aHost.id) {
-      service->Vanish();
+      service->Terminate();
     }
   }
 }
--- a/StandIns/Fleet/FleetStandIn.h
+++ b/StandIns/Fleet/FleetStandIn.h
@@ -11,21 +11,21 @@
 
 namespace lagoonward::standins {
 
-/// What a fleet consists of.
+/// Settings of a fleet.
 struct FleetSettings
 {
-  ListenAddress listen; ///< The platform's; endpoints take free ports at the same address.
+  ListenAddress listen; ///< The platform's; endpoints use free ports of the same address.
   PlatformSettings platform;
-  EngineSettings engine;   ///< Every engine is like this, but for id and failure domain.
-  ServiceSettings service; ///< Every service is like this, but for id, name and failure domain.
-  int engines = 4;         ///< Spread over the failure domains.
-  int servicesPerName = 2; ///< Spread over the failure domains.
+  EngineSettings engine;   ///< Template of the engines; id and failure domain differ.
+  ServiceSettings service; ///< Template of the services; id, name and failure domain differ.
+  int engines = 4;         ///< Distributed over the failure domains.
+  int servicesPerName = 2; ///< Distributed over the failure domains.
   std::vector<std::string> serviceNames{ "permits" };
   bool reclaimable = true; ///< Whether the engines are reclaimable hosts.
 };
 
-/// A platform with many engines and services in one process, all on the loopback. Hosts that the cloud
-/// starts come up here too, and those that it reclaims vanish.
+/// A platform with engines and services in one process, all on the loopback address. Hosts that the
+/// cloud interface starts or reclaims are started and terminated in this process as well.
 class FleetStandIn
 {
 public:
@@ -34,14 +34,15 @@
 
   [[nodiscard]] const ListenAddress& Address() const { return this->platform->Address(); }
 
-  /// Addresses, counters of every engine and their sum, executions of all services; JSON text.
+  /// JSON text with addresses, the counters of every engine and their sums, and the executions of all
+  /// services.
   [[nodiscard]] std::string Describe();
 
-  /// Stops everything. Before the scheduler ends.
+  /// Stops the platform and all endpoints. Must be called before the scheduler is destroyed.
   void Stop();
 
 private:
-  /// Starts the host's program here. False where the kind has none.
+  /// Starts the host's stand-in in this process. Returns false if there is none for its kind.
   [[nodiscard]] bool Start(CloudHost& aHost);
   void Remove(const CloudHost& aHost);
   void StartInitial(const std::string& aKind, const std::string& aName, int aIndex);
@@ -50,7 +51,8 @@
   Scheduler& scheduler;
   ComputeLedger ledger;
   std::mutex mutex;
-  std::vector<std::unique_ptr<EngineStandIn>> engines; ///< Vanished ones too, for their counters.
+  /// Includes terminated engines, for their counters.
+  std::vector<std::unique_ptr<EngineStandIn>> engines;
   std::vector<std::unique_ptr<ServiceStandIn>> services;
   std::unique_ptr<PlatformStandIn> platform;
 };
--- a/StandIns/Http/HttpClient.h
+++ b/StandIns/Http/HttpClient.h
@@ -5,15 +5,15 @@
 
 namespace lagoonward::standins {
 
-/// What came back from Fetch().
+/// Result of Fetch().
 struct HttpAnswer
 {
-  long status = 0; ///< Zero when there was no answer.
+  long status = 0; ///< Zero if there was no response.
   std::string body;
-  std::chrono::milliseconds retryAfter{ 0 }; ///< From `Retry-After`; zero without one.
+  std::chrono::milliseconds retryAfter{ 0 }; ///< From `Retry-After`; zero if the header is missing.
 };
 
-/// One blocking request.
+/// Sends one request and blocks until the response is complete or the timeout expires.
 [[nodiscard]] HttpAnswer
 Fetch(const std::string& aMethod, const std::string& aUrl, const std::string& aBody,
       std::chrono::milliseconds aTimeout);
--- a/StandIns/Http/HttpExchange.cpp
+++ b/StandIns/Http/HttpExchange.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Room that a response asks of the library for one read of a stream.
+/// Block size that is passed to the library for reads of a streamed response.
 constexpr std::size_t kStreamBlock = 4096;
 
 } // namespace
@@ -38,8 +38,8 @@
   this->buffer = std::move(aBody);
   this->contentType = aContentType;
   this->headers = std::move(aHeaders);
-  this->phase = this->dropped ? Phase::Aborted : Phase::Answered;
-  this->Wake();
+  this->phase = this->answerDropped ? Phase::Aborted : Phase::Answered;
+  this->Resume();
 }
 
 void
@@ -51,20 +51,20 @@
   }
   this->status = MHD_HTTP_OK;
   this->contentType = "text/event-stream";
-  this->phase = this->dropped ? Phase::Aborted : Phase::Streaming;
-  this->begun = !this->dropped;
-  this->Wake();
+  this->phase = this->answerDropped ? Phase::Aborted : Phase::Streaming;
+  this->streamBegun = !this->answerDropped;
+  this->Resume();
 }
 
 void
 HttpExchange::Write(std::string_view aPiece)
 {
   const std::lock_guard lock(this->mutex);
-  if (this->phase != Phase::Streaming || this->gone) {
+  if (this->phase != Phase::Streaming || this->disconnected) {
     return;
   }
   this->buffer.append(aPiece);
-  this->Wake();
+  this->Resume();
 }
 
 void
@@ -75,7 +75,7 @@
     return;
   }
   this->phase = Phase::Ended;
-  this->Wake();
+  this->Resume();
 }
 
 void
@@ -83,23 +83,23 @@
 {
   const std::lock_guard lock(this->mutex);
   this->phase = Phase::Aborted;
-  this->Wake();
+  this->Resume();
 }
 
 void
 HttpExchange::DropAnswer()
 {
   const std::lock_guard lock(this->mutex);
-  this->dropped = true;
+  this->answerDropped = true;
 }
 
 void
-HttpExchange::OnGone(std::function<void()> aCallback)
+HttpExchange::OnDisconnected(std::function<void()> aCallback)
 {
   {
     const std::lock_guard lock(this->mutex);
-    if (!this->gone) {
-      this->onGone = std::move(aCallback);
+    if (!this->disconnected) {
+      this->onDisconnected = std::move(aCallback);
       return;
     }
   }
@@ -107,41 +107,41 @@
 }
 
 bool
-HttpExchange::IsGone() const
+HttpExchange::IsDisconnected() const
 {
   const std::lock_guard lock(this->mutex);
-  return this->gone;
+  return this->disconnected;
 }
 
 MHD_Result
-HttpExchange::Advance()
+HttpExchange::SendOrSuspend()
 {
   ResponsePointer response;
   {
     const std::lock_guard lock(this->mutex);
-    // A stream that was broken off still sends what it has
-    if (this->stopping || (this->phase == Phase::Aborted && !this->begun)) {
+    // An aborted stream still sends the data already written
+    if (this->stopping || (this->phase == Phase::Aborted && !this->streamBegun)) {
       return MHD_NO;
     }
     if (this->state->silent || this->phase == Phase::Waiting) {
-      this->Park();
+      this->Suspend();
       return MHD_YES;
     }
     response = this->BuildResponse();
   }
-  // The library locks the response, and reads the stream under that lock
+  // The library locks the response and calls ReadCallback under that lock, so this->mutex must not be locked here
   return MHD_queue_response(this->connection, static_cast<unsigned>(this->status), response.get());
 }
 
 HttpExchange::ResponsePointer
 HttpExchange::BuildResponse()
 {
-  const bool whole = this->phase == Phase::Answered;
+  const bool complete = this->phase == Phase::Answered;
   ResponsePointer response(
-    whole ? MHD_create_response_from_buffer(this->buffer.size(), this->buffer.data(),
-                                            MHD_RESPMEM_MUST_COPY)
-          : MHD_create_response_from_callback(MHD_SIZE_UNKNOWN, kStreamBlock,
-                                              &HttpExchange::ReadCallback, this, nullptr));
+    complete ? MHD_create_response_from_buffer(this->buffer.size(), this->buffer.data(),
+                                               MHD_RESPMEM_MUST_COPY)
+             : MHD_create_response_from_callback(MHD_SIZE_UNKNOWN, kStreamBlock,
+                                                 &HttpExchange::ReadCallback, this, nullptr));
   MHD_add_response_header(response.get(), MHD_HTTP_HEADER_CONTENT_TYPE, this->contentType.c_str());
   for (const auto& [name, value] : this->headers) {
     MHD_add_response_header(response.get(), name.c_str(), value.c_str());
@@ -164,17 +164,17 @@
     return MHD_CONTENT_READER_END_WITH_ERROR;
   }
   if (this->state->silent) {
-    this->Park();
+    this->Suspend();
     return 0;
   }
-  const auto left = this->buffer.size() - this->taken;
+  const auto left = this->buffer.size() - this->sentBytes;
   if (left > 0) {
     const auto size = std::min(left, aRoom);
-    std::memcpy(aBuffer, this->buffer.data() + this->taken, size);
-    this->taken += size;
-    if (this->taken == this->buffer.size()) {
+    std::memcpy(aBuffer, this->buffer.data() + this->sentBytes, size);
+    this->sentBytes += size;
+    if (this->sentBytes == this->buffer.size()) {
       this->buffer.clear();
-      this->taken = 0;
+      this->sentBytes = 0;
     }
     return static_cast<ssize_t>(size);
   }
@@ -184,36 +184,36 @@
     case Phase::Aborted:
       return MHD_CONTENT_READER_END_WITH_ERROR;
     default:
-      this->Park();
+      this->Suspend();
       return 0;
   }
 }
 
 void
-HttpExchange::Park()
+HttpExchange::Suspend()
 {
-  this->parked = true;
+  this->suspended = true;
   MHD_suspend_connection(this->connection);
 }
 
 void
-HttpExchange::Wake()
+HttpExchange::Resume()
 {
-  if (this->parked && !this->gone && (!this->state->silent || this->stopping)) {
-    this->parked = false;
+  if (this->suspended && !this->disconnected && (!this->state->silent || this->stopping)) {
+    this->suspended = false;
     MHD_resume_connection(this->connection);
   }
 }
 
 void
-HttpExchange::MarkGone()
+HttpExchange::MarkDisconnected()
 {
   std::function<void()> callback;
   {
     const std::lock_guard lock(this->mutex);
-    this->gone = true;
-    callback = std::move(this->onGone);
-    this->onGone = nullptr;
+    this->disconnected = true;
+    callback = std::move(this->onDisconnected);
+    this->onDisconnected = nullptr;
   }
   if (callback) {
     callback();
--- a/StandIns/Http/HttpExchange.h
+++ b/StandIns/Http/HttpExchange.h
@@ -15,14 +15,14 @@
 
 namespace lagoonward::standins {
 
-/// State of one TCP connection, over all requests that come on it.
+/// State of one TCP connection, shared by all its requests.
 struct ConnectionState
 {
-  std::atomic<bool> silent{ false }; ///< Nothing is read or sent on it any more, for good.
+  std::atomic<bool> silent{ false }; ///< No data is processed or sent on it any more.
 };
 
-/// One request and its answer, which may come at once or later, whole or in pieces, from any
-/// thread. All methods are safe from any thread; once the caller has gone they do nothing.
+/// One request and its response, which can be given immediately or later, complete or streamed, from any
+/// thread. All methods are thread-safe; they have no effect after the client has disconnected.
 class HttpExchange
 {
 public:
@@ -33,40 +33,41 @@
 
   [[nodiscard]] const HttpRequest& Request() const { return this->request; }
 
-  /// Answers whole. Only the first answer counts.
+  /// Sends a complete response. Only the first response takes effect.
   void Respond(int aStatus, std::string aBody, std::string_view aContentType = "application/json",
                Headers aHeaders = {});
 
-  /// Starts an answer in pieces, as server-sent events.
+  /// Starts a streamed response of server-sent events.
   void BeginStream();
 
-  /// Sends one more piece of a begun stream.
+  /// Appends data to a streamed response.
   void Write(std::string_view aPiece);
 
-  /// Ends a begun stream in good order.
+  /// Completes a streamed response.
   void End();
 
-  /// Closes the connection without (the rest of) an answer; pieces already given are still sent.
+  /// Closes the connection without (the rest of) a response; streamed data already written is still sent.
   void Abort();
 
-  /// From here on the answer is lost: whatever is given closes the connection instead.
+  /// Discards the response: from now on, giving a response closes the connection instead.
   void DropAnswer();
 
-  /// Called once when the connection has ended before the answer was complete.
-  void OnGone(std::function<void()> aCallback);
+  /// Sets a function that is called once when the server is done with the request, in particular when the
+  /// client disconnected before the response was complete; immediately if that is already the case.
+  void OnDisconnected(std::function<void()> aCallback);
 
-  /// Whether the caller can no longer be reached.
-  [[nodiscard]] bool IsGone() const;
+  /// Whether the connection is no longer available.
+  [[nodiscard]] bool IsDisconnected() const;
 
 private:
   friend class HttpServer;
 
   enum class Phase
   {
-    Waiting,   ///< No answer yet.
-    Answered,  ///< A whole answer is ready.
-    Streaming, ///< An answer in pieces has begun.
-    Ended,     ///< The last piece has been given.
+    Waiting,   ///< No response yet.
+    Answered,  ///< A complete response is ready.
+    Streaming, ///< A streamed response has started.
+    Ended,     ///< The streamed response is complete.
     Aborted,   ///< The connection is to be closed.
   };
 
@@ -76,25 +77,25 @@
   };
   using ResponsePointer = std::unique_ptr<MHD_Response, ResponseDeleter>;
 
-  /// Runs on the server's thread: hands over the answer, or parks the connection.
-  MHD_Result Advance();
+  /// Runs on the server's thread: queues the response, or suspends the connection until there is one.
+  MHD_Result SendOrSuspend();
 
-  /// What is to be sent. Needs the mutex.
+  /// Builds the response. Requires the mutex.
   ResponsePointer BuildResponse();
 
-  /// Fills MHD's buffer with the next bytes of a stream, or parks the connection.
+  /// Fills MHD's buffer with the next bytes of a stream, or suspends the connection if there are none.
   ssize_t Read(char* aBuffer, std::size_t aRoom);
   static ssize_t ReadCallback(void* aSelf, std::uint64_t aPosition, char* aBuffer,
                               std::size_t aRoom);
 
-  /// Parks the connection until there is something to do. Needs the mutex.
-  void Park();
+  /// Suspends the connection until Resume(). Requires the mutex.
+  void Suspend();
 
-  /// Wakes a parked connection. Needs the mutex.
-  void Wake();
+  /// Resumes a suspended connection. Requires the mutex.
+  void Resume();
 
-  /// The server is done with the connection.
-  void MarkGone();
+  /// Called when the server is done with the request; runs the OnDisconnected() callback.
+  void MarkDisconnected();
 
   HttpRequest request;
   mutable std::mutex mutex;
@@ -102,17 +103,17 @@
   std::shared_ptr<ConnectionState> state;
   const std::atomic<bool>& stopping;
   Phase phase = Phase::Waiting;
-  bool started = false; ///< The handler has seen the request.
-  bool parked = false;
-  bool gone = false;
-  bool begun = false;   ///< An answer in pieces has begun.
-  bool dropped = false; ///< The answer is to be lost.
+  bool dispatched = false; ///< The request has been passed to the handler.
+  bool suspended = false;
+  bool disconnected = false;
+  bool streamBegun = false;   ///< A streamed response has started.
+  bool answerDropped = false; ///< The response is to be discarded.
   int status = 0;
   std::string contentType;
   Headers headers;
-  std::string buffer;    ///< The whole answer, or bytes not yet taken by the server.
-  std::size_t taken = 0; ///< How much of the buffer has been sent.
-  std::function<void()> onGone;
+  std::string buffer;        ///< The complete response, or streamed data that is not yet sent.
+  std::size_t sentBytes = 0; ///< Number of bytes of the buffer that have been sent.
+  std::function<void()> onDisconnected;
 };
 
 } // namespace lagoonward::standins
--- a/StandIns/Http/HttpRequest.cpp
+++ b/StandIns/Http/HttpRequest.cpp
@@ -27,9 +27,9 @@
 std::string_view
 HttpRequest::PathAfter(std::string_view aPrefix) const
 {
-  const std::string_view whole = this->path;
-  return whole.substr(0, aPrefix.size()) == aPrefix ? whole.substr(aPrefix.size())
-                                                    : std::string_view();
+  const std::string_view fullPath = this->path;
+  return fullPath.substr(0, aPrefix.size()) == aPrefix ? fullPath.substr(aPrefix.size())
+                                                       : std::string_view();
 }
 
 } // namespace lagoonward::standins
--- a/StandIns/Http/HttpRequest.h
+++ b/StandIns/Http/HttpRequest.h
@@ -7,7 +7,7 @@
 
 namespace lagoonward::standins {
 
-/// One request as a stand-in received it, whole.
+/// A completely received request.
 struct HttpRequest
 {
   std::string method;
@@ -16,13 +16,13 @@
   std::map<std::string, std::string> headers; ///< Names in lower case.
   std::string body;
 
-  /// The header's value, or nothing; aName in lower case.
+  /// The header's value, or an empty view; aName in lower case.
   [[nodiscard]] std::string_view Header(const std::string& aName) const;
 
-  /// The argument as a number, or aDefault where it is missing or no number.
+  /// The query argument as a number, or aDefault if it is missing or not a number.
   [[nodiscard]] std::int64_t QueryNumber(const std::string& aName, std::int64_t aDefault) const;
 
-  /// What follows aPrefix in the path; empty where the path does not begin with it.
+  /// The rest of the path after aPrefix; empty if the path does not start with it.
   [[nodiscard]] std::string_view PathAfter(std::string_view aPrefix) const;
 };
 
--- a/StandIns/Http/HttpServer.cpp
+++ b/StandIns/Http/HttpServer.cpp
@@ -13,10 +13,10 @@
 
 namespace {
 
-/// Most connections that one server holds.
+/// Maximum number of open connections per server.
 constexpr unsigned kConnectionLimit = 8192;
 
-/// Connections that may wait to be accepted.
+/// Length of the queue of connections that wait to be accepted.
 constexpr unsigned kBacklog = 1024;
 
 MHD_Result
@@ -44,13 +44,13 @@
   socketAddress.sin_family = AF_INET;
   socketAddress.sin_port = htons(aListen.port);
   if (inet_pton(AF_INET, aListen.address.c_str(), &socketAddress.sin_addr) != 1) {
-    throw std::invalid_argument("not an IPv4 number: " + aListen.address);
+    throw std::invalid_argument("expected an IPv4 address, got " + aListen.address);
   }
   return socketAddress;
 }
 
 std::shared_ptr<ConnectionState>
-StateOf(MHD_Connection* aConnection)
+GetConnectionState(MHD_Connection* aConnection)
 {
   const auto* info = MHD_get_connection_info(aConnection, MHD_CONNECTION_INFO_SOCKET_CONTEXT);
   return *static_cast<std::shared_ptr<ConnectionState>*>(info->socket_context);
@@ -64,13 +64,13 @@
   const auto colon = aText.rfind(':');
   ListenAddress listen;
   if (colon == std::string::npos) {
-    throw std::invalid_argument("not IP:PORT: " + aText);
+    throw std::invalid_argument("expected IP:PORT, got " + aText);
   }
   listen.address = aText.substr(0, colon);
   const auto* end = aText.data() + aText.size();
   const auto parsed = std::from_chars(aText.data() + colon + 1, end, listen.port);
   if (parsed.ec != std::errc() || parsed.ptr != end) {
-    throw std::invalid_argument("not IP:PORT: " + aText);
+    throw std::invalid_argument("expected IP:PORT, got " + aText);
   }
   (void)ToSocketAddress(listen);
   return listen;
@@ -120,10 +120,10 @@
   if (this->daemon == nullptr) {
     return;
   }
-  // No new connections; what is open is cut when it next moves
+  // Refuse new connections; open ones are closed at their next event
   const auto listening = MHD_quiesce_daemon(this->daemon);
   this->stopping = true;
-  // The library calls back under its own lock, so it must not be called under ours
+  // The library runs callbacks under its own lock, so it must not be called with this->mutex locked
   std::vector<std::shared_ptr<HttpExchange>> open;
   {
     const std::lock_guard lock(this->mutex);
@@ -142,7 +142,8 @@
 HttpServer::ExchangePointer*
 HttpServer::Accept(MHD_Connection* aConnection, const char* aUrl, const char* aMethod)
 {
-  auto exchange = std::make_shared<HttpExchange>(aConnection, StateOf(aConnection), this->stopping);
+  auto exchange =
+    std::make_shared<HttpExchange>(aConnection, GetConnectionState(aConnection), this->stopping);
   auto& request = exchange->request;
   request.method = aMethod;
   request.path = aUrl;
@@ -162,30 +163,30 @@
   if (self->stopping) {
     return MHD_NO;
   }
-  // First call: headers only
+  // First call: only the headers are available
   if (*aContext == nullptr) {
     *aContext = self->Accept(aConnection, aUrl, aMethod);
     return MHD_YES;
   }
   const auto exchange = *static_cast<ExchangePointer*>(*aContext);
-  // Further calls: the body in pieces
+  // Subsequent calls: chunks of the body
   if (*aDataSize > 0) {
     exchange->request.body.append(aData, *aDataSize);
     *aDataSize = 0;
     return MHD_YES;
   }
-  // The request is whole; a silent connection has lost it
-  if (!exchange->started && !exchange->state->silent) {
-    exchange->started = true;
+  // The request is complete; on a silent connection it is dropped
+  if (!exchange->dispatched && !exchange->state->silent) {
+    exchange->dispatched = true;
     self->handler(exchange);
   }
-  return exchange->Advance();
+  return exchange->SendOrSuspend();
 }
 
 void
-HttpServer::Forget(ExchangePointer* aExchange)
+HttpServer::Release(ExchangePointer* aExchange)
 {
-  (*aExchange)->MarkGone();
+  (*aExchange)->MarkDisconnected();
   const std::lock_guard lock(this->mutex);
   this->exchanges.erase(*aExchange);
 }
@@ -198,7 +199,7 @@
   if (exchange == nullptr) {
     return;
   }
-  static_cast<HttpServer*>(aSelf)->Forget(exchange);
+  static_cast<HttpServer*>(aSelf)->Release(exchange);
   delete exchange;
   *aContext = nullptr;
 }
--- a/StandIns/Http/HttpServer.h
+++ b/StandIns/Http/HttpServer.h
@@ -12,39 +12,39 @@
 
 namespace lagoonward::standins {
 
-/// Where a server listens: an IPv4 number and a port, zero for any free one.
+/// Listen address: IPv4 address and port; port zero selects any free one.
 struct ListenAddress
 {
   std::string address = "127.0.0.1";
   std::uint16_t port = 0;
 
-  /// Reads `IP:PORT`. Throws std::invalid_argument naming the text that is none.
+  /// Parses `IP:PORT`. Throws std::invalid_argument with the malformed text.
   [[nodiscard]] static ListenAddress Parse(const std::string& aText);
   [[nodiscard]] std::string ToString() const;
 };
 
-/// A small HTTP/1.1 server over libmicrohttpd: one thread with epoll, connections that wait are
-/// suspended. The handler runs on that thread, must not block, and answers through the exchange,
-/// then or later.
+/// HTTP/1.1 server on libmicrohttpd: one thread with epoll; connections that wait for a response are
+/// suspended. The handler runs on that thread, must not block, and responds through the exchange,
+/// immediately or later.
 class HttpServer
 {
 public:
   using Handler = std::function<void(const std::shared_ptr<HttpExchange>&)>;
 
-  /// Listens at once. Throws std::runtime_error where the address cannot be had.
+  /// Starts listening. Throws std::runtime_error if the address cannot be bound.
   HttpServer(const ListenAddress& aListen, Handler aHandler);
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
   ~HttpServer();
 
-  /// The address that it listens on, with the port that was given.
+  /// The address that the server listens on, with the actual port.
   [[nodiscard]] const ListenAddress& Address() const { return this->listen; }
 
-  /// Every connection open now, but for the exchange's own, never carries a byte again; new ones
-  /// work.
+  /// Suspends all open connections except that of aExchange for good: no data is sent on them any more.
+  /// New connections are not affected.
   void SilenceOtherConnections(const HttpExchange& aExchange);
 
-  /// Stops listening and cuts every connection. Not from the handler.
+  /// Stops listening and closes every connection. Must not be called from the handler.
   void Stop();
 
 private:
@@ -59,7 +59,7 @@
   using ExchangePointer = std::shared_ptr<HttpExchange>;
 
   ExchangePointer* Accept(MHD_Connection* aConnection, const char* aUrl, const char* aMethod);
-  void Forget(ExchangePointer* aExchange);
+  void Release(ExchangePointer* aExchange);
 
   ListenAddress listen;
   Handler handler;
--- a/StandIns/Load/Caller.cpp
+++ b/StandIns/Load/Caller.cpp
@@ -13,20 +13,20 @@
 
 using nlohmann::json;
 
-/// Tries before a caller gives up.
-constexpr int kMaxTries = 60;
+/// Maximum number of attempts per request.
+constexpr int kMaxAttempts = 60;
 
-/// Tries that may end in "unknown" before a caller takes it for the answer.
-constexpr int kMaxUnknown = 3;
+/// Number of attempts that must end in "unknown" before it becomes the outcome.
+constexpr int kMaxUnknownAnswers = 3;
 
-/// Wait before the next try, where the system names none, and the longest that is kept.
-constexpr Milliseconds kPause{ 150 };
-constexpr Milliseconds kLongestPause{ 2000 };
+/// Delay before the next attempt if the response gives none, and the upper limit of the delay.
+constexpr Milliseconds kRetryDelay{ 150 };
+constexpr Milliseconds kMaxRetryDelay{ 2000 };
 
-/// A caller waits so long past its deadline.
-constexpr Milliseconds kPatience{ 5000 };
+/// Time after the deadline at which a request without an answer counts as lost.
+constexpr Milliseconds kDeadlineGrace{ 5000 };
 
-/// Largest event that a stream may have.
+/// Maximum size of a stream event.
 constexpr std::size_t kMaxEventBytes = std::size_t{ 1 } << 20U;
 
 bool
@@ -35,7 +35,7 @@
   return aKind != RequestKind::Submission;
 }
 
-/// The number behind `Retry-After:`, if that is what the line is.
+/// The value of a `Retry-After:` header line; nullopt for other lines.
 std::optional<Milliseconds>
 ReadRetryAfter(std::string_view aLine)
 {
@@ -69,38 +69,38 @@
 Caller::Start()
 {
   this->started = this->loop.GetClock().Now();
-  // Whatever happens, there is an end
-  this->loop.RunAfter(this->request.deadline + kPatience, [this] {
-    if (this->result.outcome == Outcome::Open) {
+  // Ensures that every request completes
+  this->loop.RunAfter(this->request.deadline + kDeadlineGrace, [this] {
+    if (this->result.outcome == Outcome::Pending) {
       this->loop.CancelTransfer(this->transfer);
-      this->Finish(Outcome::Lost, "no answer by the deadline; " + this->result.detail);
+      this->Finish(Outcome::Lost, "no complete answer by the deadline; " + this->result.detail);
     }
   });
-  this->Try();
+  this->StartAttempt();
 }
 
 bool
 Caller::IsStreaming() const
 {
-  return this->result.outcome == Outcome::Open && !this->text.empty();
+  return this->result.outcome == Outcome::Pending && !this->text.empty();
 }
 
 void
-Caller::Try()
+Caller::StartAttempt()
 {
-  if (this->result.outcome != Outcome::Open) {
+  if (this->result.outcome != Outcome::Pending) {
     return;
   }
-  ++this->result.tries;
+  ++this->result.attempts;
   this->bytes.clear();
   this->error.clear();
-  this->sawEnd = false;
+  this->sawDone = false;
   this->retryAfter = Milliseconds(0);
   this->reader.emplace(kMaxEventBytes);
-  const auto next = this->BuildTry();
-  if (!this->request.continues) {
-    this->earlier =
-      std::max(this->earlier, this->text, [](const auto& aFirst, const auto& aSecond) {
+  const auto next = this->BuildAttemptRequest();
+  if (!this->request.resumes) {
+    this->longestEarlierText =
+      std::max(this->longestEarlierText, this->text, [](const auto& aFirst, const auto& aSecond) {
         return aFirst.size() < aSecond.size();
       });
     this->text.clear();
@@ -110,13 +110,13 @@
 }
 
 HttpTransferRequest
-Caller::BuildTry() const
+Caller::BuildAttemptRequest() const
 {
   HttpTransferRequest next;
   next.method = "POST";
   next.url = this->daemons[this->nextDaemon % this->daemons.size()] + this->request.path;
   next.body = this->request.body;
-  next.freshConnection = true; // the balancer spreads connections
+  next.freshConnection = true; // the load balancer distributes connections, not requests
   next.headers = { "Content-Type: application/json",
                    "Authorization: Bearer " + this->request.clientKey,
                    "Idempotency-Key: " + this->request.key,
@@ -126,7 +126,7 @@
   if (!IsRepeatable(this->request.kind)) {
     next.headers.emplace_back("Lagoonward-Idempotent: false");
   }
-  if (this->request.continues && !this->lastEventId.empty()) {
+  if (this->request.resumes && !this->lastEventId.empty()) {
     next.headers.emplace_back("Last-Event-ID: " + this->lastEventId);
   }
   return next;
@@ -158,28 +158,28 @@
     return;
   }
   if (aEvent.data == "[DONE]") {
-    this->sawEnd = true;
+    this->sawDone = true;
     return;
   }
   const auto event = json::parse(aEvent.data, nullptr, false);
   if (event.is_discarded() || !event.contains("choices") || event["choices"].empty()) {
     return;
   }
-  this->NoteText(event["choices"][0].value("text", std::string()));
+  this->RecordText(event["choices"][0].value("text", std::string()));
   if (!aEvent.id.empty()) {
     this->lastEventId = aEvent.id;
   }
 }
 
 void
-Caller::NoteText(std::string_view aText)
+Caller::RecordText(std::string_view aText)
 {
   if (aText.empty()) {
     return;
   }
   const auto now = this->loop.GetClock().Now();
   if (this->lastText == TimePoint()) {
-    this->result.firstToken = this->Passed();
+    this->result.firstToken = this->Elapsed();
   } else {
     const auto gap = std::chrono::duration_cast<Milliseconds>(now - this->lastText);
     this->result.longestGap = std::max(this->result.longestGap, gap);
@@ -192,62 +192,63 @@
 Caller::OnEnd(const TransferEnd& aEnd)
 {
   this->transfer = 0;
-  if (this->result.outcome == Outcome::Open) {
-    this->Judge(aEnd);
+  if (this->result.outcome == Outcome::Pending) {
+    this->ClassifyResult(aEnd);
   }
 }
 
 void
-Caller::Judge(const TransferEnd& aEnd)
+Caller::ClassifyResult(const TransferEnd& aEnd)
 {
   if (aEnd.outcome != TransferOutcome::Complete) {
-    // The daemon has gone: the same key at the next one
-    this->TryLater("connection: " + aEnd.message, kPause);
+    // The connection to the daemon failed: retry with the same key at the next daemon
+    this->ScheduleRetry("connection: " + aEnd.message, kRetryDelay);
     return;
   }
   if (aEnd.status != 200) {
-    this->JudgeError(this->bytes);
+    this->ClassifyError(this->bytes);
     return;
   }
   if (!this->error.empty()) {
-    this->JudgeError(this->error);
+    this->ClassifyError(this->error);
     return;
   }
-  if (this->request.stream && !this->sawEnd) {
-    this->Finish(Outcome::Wrong, "the stream ended without [DONE] or error");
+  if (this->request.stream && !this->sawDone) {
+    this->Finish(Outcome::Wrong,
+                 "expected [DONE] or an error event, the stream ended without either");
     return;
   }
-  this->JudgeAnswer();
+  this->CheckAnswer();
 }
 
 void
-Caller::JudgeError(const std::string& aBody)
+Caller::ClassifyError(const std::string& aBody)
 {
   const auto body = json::parse(aBody, nullptr, false);
   if (body.is_discarded() || !body.contains("error") || !body["error"].is_object()) {
-    this->Finish(Outcome::Wrong, "an error that is none: " + aBody.substr(0, 200));
+    this->Finish(Outcome::Wrong, "expected an error object, got: " + aBody.substr(0, 200));
     return;
   }
   const auto kind = body["error"].value("kind", std::string());
   const auto ran = body["error"].value("ran", std::string());
   const auto why =
     fmt::format("{} (ran {}): {}", kind, ran, body["error"].value("message", std::string()));
-  const bool inTime = this->Passed() < this->request.deadline;
+  const bool inTime = this->Elapsed() < this->request.deadline;
   if (ran == "no") {
-    if (this->retryAfter.count() > 0 && inTime && this->result.tries < kMaxTries) {
-      this->TryLater(why, std::clamp(this->retryAfter, kPause, kLongestPause));
+    if (this->retryAfter.count() > 0 && inTime && this->result.attempts < kMaxAttempts) {
+      this->ScheduleRetry(why, std::clamp(this->retryAfter, kRetryDelay, kMaxRetryDelay));
       return;
     }
     this->Finish(Outcome::RefusedNotRun, why);
     return;
   }
   if (IsRepeatable(this->request.kind)) {
-    this->TryLater(why, std::clamp(this->retryAfter, kPause, kLongestPause));
+    this->ScheduleRetry(why, std::clamp(this->retryAfter, kRetryDelay, kMaxRetryDelay));
     return;
   }
-  // Asked again, the system may have learned more
-  if (++this->unknownAnswers < kMaxUnknown && inTime) {
-    this->TryLater(why, kPause);
+  // A later attempt may find the execution state known
+  if (++this->unknownAnswers < kMaxUnknownAnswers && inTime) {
+    this->ScheduleRetry(why, kRetryDelay);
     return;
   }
   this->Finish(Outcome::Unknown, why);
@@ -267,45 +268,46 @@
     return body["result"].get<std::string>();
   }
   if (body.contains("choices") && !body["choices"].empty()) {
-    this->NoteText("x"); // first text and end come together
+    this->RecordText("x"); // the first text and the end arrive together
     return body["choices"][0].value("text", std::string());
   }
   return std::nullopt;
 }
 
 void
-Caller::JudgeAnswer()
+Caller::CheckAnswer()
 {
   const auto answer = this->ReadAnswer();
   if (!answer) {
-    this->Finish(Outcome::Wrong, "no answer in " + this->bytes.substr(0, 200));
+    this->Finish(Outcome::Wrong,
+                 "expected a result or choices, got: " + this->bytes.substr(0, 200));
     return;
   }
   if (*answer != this->request.expected) {
     const auto same = std::mismatch(answer->begin(), answer->end(), this->request.expected.begin(),
                                     this->request.expected.end());
     this->Finish(Outcome::Wrong,
-                 fmt::format("{} bytes in place of {}, the first {} right", answer->size(),
+                 fmt::format("got {} bytes, expected {}; the first {} are correct", answer->size(),
                              this->request.expected.size(), same.first - answer->begin()));
     return;
   }
-  // What an earlier try showed must have been the beginning of the same answer
-  if (answer->compare(0, this->earlier.size(), this->earlier) != 0) {
-    this->Finish(Outcome::Wrong, "an earlier try showed another text");
+  // The partial text of an earlier attempt must be a prefix of the answer
+  if (answer->compare(0, this->longestEarlierText.size(), this->longestEarlierText) != 0) {
+    this->Finish(Outcome::Wrong, "an earlier attempt sent a different text");
     return;
   }
-  this->Finish(Outcome::Whole, {});
+  this->Finish(Outcome::Correct, {});
 }
 
 void
-Caller::TryLater(const std::string& aWhy, Milliseconds aWait)
+Caller::ScheduleRetry(const std::string& aWhy, Milliseconds aWait)
 {
   this->result.detail = aWhy;
-  if (this->result.tries >= kMaxTries) {
-    this->Finish(Outcome::Lost, "too many tries; " + aWhy);
+  if (this->result.attempts >= kMaxAttempts) {
+    this->Finish(Outcome::Lost, "too many attempts; " + aWhy);
     return;
   }
-  this->loop.RunAfter(aWait, [this] { this->Try(); });
+  this->loop.RunAfter(aWait, [this] { this->StartAttempt(); });
 }
 
 void
@@ -313,12 +315,12 @@
 {
   this->result.outcome = aOutcome;
   this->result.detail = std::move(aDetail);
-  this->result.total = this->Passed();
+  this->result.total = this->Elapsed();
   this->done(*this);
 }
 
 Milliseconds
-Caller::Passed() const
+Caller::Elapsed() const
 {
   return std::chrono::duration_cast<Milliseconds>(this->loop.GetClock().Now() - this->started);
 }
--- a/StandIns/Load/Caller.h
+++ b/StandIns/Load/Caller.h
@@ -11,47 +11,48 @@
 
 namespace lagoonward::standins {
 
-/// What a caller has in the end.
+/// Outcome of a caller's request.
 enum class Outcome
 {
-  Open,          ///< Not over yet.
-  Whole,         ///< The answer that it must get, once and whole.
-  Wrong,         ///< Another answer, or contradictory pieces of one.
-  RefusedNotRun, ///< Refused with the promise that it was not run.
-  Unknown, ///< A non-idempotent call of which the system honestly does not know, or not any more.
-  Lost,    ///< Anything else: no answer in time, or an error that promises nothing.
+  Pending,       ///< Not completed yet.
+  Correct,       ///< The expected answer, complete and once.
+  Wrong,         ///< A different answer, or inconsistent partial answers.
+  RefusedNotRun, ///< Refused, and reported as not executed.
+  Unknown,       ///< Non-idempotent call whose execution state is reported as unknown.
+  Lost,          ///< Anything else: no answer in time, or an error without an execution state.
 };
 
-/// What a caller saw.
+/// Result of a caller's request.
 struct CallerResult
 {
-  Outcome outcome = Outcome::Open;
-  std::string detail; ///< Why it is not whole.
-  int tries = 0;
-  Milliseconds firstToken{ 0 }; ///< From the first try to the first text.
-  Milliseconds total{ 0 };      ///< From the first try to the end.
-  Milliseconds longestGap{ 0 }; ///< Between two pieces of text.
+  Outcome outcome = Outcome::Pending;
+  std::string detail; ///< Reason if the outcome is not Correct.
+  int attempts = 0;
+  Milliseconds firstToken{ 0 }; ///< From the first attempt to the first text.
+  Milliseconds total{ 0 };      ///< From the first attempt to the end.
+  Milliseconds longestGap{ 0 }; ///< Between two consecutive pieces of text.
 };
 
-/// One caller behind the balancer: sends its request to one daemon, and when the connection breaks or
-/// it is told to come back, sends the same key to the next. Lives on one TrafficLoop.
+/// Simulated caller behind a load balancer: sends its request to one daemon and, if the connection fails
+/// or the response asks for a retry, sends it with the same key to the next daemon. Used only on the
+/// thread of its TrafficLoop while that runs.
 class Caller final : private HttpTransferObserver
 {
 public:
   using Done = std::function<void(Caller&)>;
 
   /// @param aDaemons  base URLs
-  /// @param aFirst    index of the daemon that gets the first try
+  /// @param aFirst    index of the daemon that receives the first attempt
   Caller(TrafficLoop& aLoop, const PlannedRequest& aRequest,
          const std::vector<std::string>& aDaemons, std::size_t aFirst, Done aDone);
 
-  /// Sends the first try. On the loop.
+  /// Sends the first attempt. Must be called on the loop's thread.
   void Start();
 
   [[nodiscard]] const PlannedRequest& Request() const { return this->request; }
   [[nodiscard]] const CallerResult& Result() const { return this->result; }
 
-  /// Whether text has come and the end has not.
+  /// Whether text has been received and the request is not completed.
   [[nodiscard]] bool IsStreaming() const;
 
 private:
@@ -59,17 +60,17 @@
   void OnBytes(int aStatus, std::string_view aBytes) override;
   void OnEnd(const TransferEnd& aEnd) override;
 
-  void Try();
-  [[nodiscard]] HttpTransferRequest BuildTry() const;
+  void StartAttempt();
+  [[nodiscard]] HttpTransferRequest BuildAttemptRequest() const;
   void OnEvent(const StreamEvent& aEvent);
-  void NoteText(std::string_view aText);
-  void Judge(const TransferEnd& aEnd);
-  void JudgeError(const std::string& aBody);
-  void JudgeAnswer();
+  void RecordText(std::string_view aText);
+  void ClassifyResult(const TransferEnd& aEnd);
+  void ClassifyError(const std::string& aBody);
+  void CheckAnswer();
   [[nodiscard]] std::optional<std::string> ReadAnswer();
-  void TryLater(const std::string& aWhy, Milliseconds aWait);
+  void ScheduleRetry(const std::string& aWhy, Milliseconds aWait);
   void Finish(Outcome aOutcome, std::string aDetail);
-  [[nodiscard]] Milliseconds Passed() const;
+  [[nodiscard]] Milliseconds Elapsed() const;
 
   TrafficLoop& loop;
   const PlannedRequest& request;
@@ -81,17 +82,17 @@
   TimePoint lastText;
   TransferId transfer = 0;
 
-  // This try
+  // State of the current attempt
   std::optional<EventStreamReader> reader;
-  std::string bytes;   ///< Body of an answer in one piece.
-  std::string error;   ///< Data of an `error` event.
-  bool sawEnd = false; ///< `[DONE]` has come.
+  std::string bytes;    ///< Body of a response that is not streamed.
+  std::string error;    ///< Data of an `error` event.
+  bool sawDone = false; ///< `[DONE]` has been received.
   Milliseconds retryAfter{ 0 };
-  int unknownAnswers = 0; ///< Tries of a non-idempotent call that ended in "unknown".
+  int unknownAnswers = 0; ///< Attempts of a non-idempotent call that ended in "unknown".
 
-  // Over all tries
+  // State across all attempts
   std::string text;
-  std::string earlier; ///< Longest text of an earlier try.
+  std::string longestEarlierText; ///< Longest text of an earlier attempt.
   std::string lastEventId;
 };
 
--- a/StandIns/Load/LoadCommand.cpp
+++ b/StandIns/Load/LoadCommand.cpp
@@ -17,10 +17,10 @@
 
 namespace po = boost::program_options;
 
-/// How often progress is printed.
-constexpr std::chrono::seconds kProgressRound{ 1 };
+/// Interval between progress lines.
+constexpr std::chrono::seconds kProgressInterval{ 1 };
 
-/// What the command line says.
+/// Command-line options of the load command.
 struct LoadOptions
 {
   LoadSettings settings;
@@ -32,7 +32,7 @@
 
   [[nodiscard]] po::options_description Describe()
   {
-    auto& to = this->settings;
+    auto& target = this->settings;
     po::options_description description(
       "lagoonward-standins load: a mixed load, every answer compared with what it must be.\n"
       "Client keys are demo-key-NAME. Exit status 0 only if nothing was lost, doubled or wrong");
@@ -41,21 +41,21 @@
       "manifest", po::value(&this->manifestFile)->required(), "the market's manifest")(
       "daemon", po::value(&this->daemons)->composing()->required(), "IP:PORT; repeatable")(
       "platform", po::value(&this->platform)->required(),
-      "IP:PORT of the fleet's platform")("drafts", bind(to.drafts), "long answers, streamed")(
-      "status", bind(to.statusChecks), "short urgent answers")("lookups", bind(to.lookups),
-                                                               "repeatable service calls")(
-      "submissions", bind(to.submissions), "service calls that must run at most once")(
-      "draft-words", bind(to.draftWords), "words of a draft's dossier")(
-      "draft-tokens", bind(to.draftTokens), "tokens of a draft, at most")(
-      "status-tokens", bind(to.statusTokens), "tokens of a status answer, at most")(
+      "IP:PORT of the fleet's platform")("drafts", bind(target.drafts), "long answers, streamed")(
+      "status", bind(target.statusChecks), "short urgent answers")("lookups", bind(target.lookups),
+                                                                   "repeatable service calls")(
+      "submissions", bind(target.submissions), "service calls that must run at most once")(
+      "draft-words", bind(target.draftWords), "words of a draft's dossier")(
+      "draft-tokens", bind(target.draftTokens), "tokens of a draft, at most")(
+      "status-tokens", bind(target.statusTokens), "tokens of a status answer, at most")(
       "spread-ms", bind(this->spreadMs), "all requests start within this time")(
-      "seed", bind(to.seed), "the same seed plans the same load")(
+      "seed", bind(target.seed), "the same seed plans the same load")(
       "json", po::bool_switch(&this->json), "print the report as JSON");
     return description;
   }
 };
 
-/// Runs all callers of a plan on one loop and prints progress.
+/// Runs all callers of a plan on one TrafficLoop and prints progress.
 class LoadRun
 {
 public:
@@ -71,7 +71,7 @@
     }
   }
 
-  /// Returns when every caller is done.
+  /// Returns when every caller has completed.
   void Run()
   {
     this->loop.Start();
@@ -84,11 +84,11 @@
     const auto begin = std::chrono::steady_clock::now();
     std::unique_lock lock(this->mutex);
     while (this->finished < this->callers.size()) {
-      this->changed.wait_for(lock, kProgressRound);
-      const std::chrono::duration<double> passed = std::chrono::steady_clock::now() - begin;
-      if (passed >= this->nextProgress) {
-        this->nextProgress += kProgressRound;
-        this->loop.Post([this, passed] { this->PrintProgress(passed.count()); });
+      this->changed.wait_for(lock, kProgressInterval);
+      const std::chrono::duration<double> elapsed = std::chrono::steady_clock::now() - begin;
+      if (elapsed >= this->nextProgress) {
+        this->nextProgress += kProgressInterval;
+        this->loop.Post([this, elapsed] { this->PrintProgress(elapsed.count()); });
       }
     }
     lock.unlock();
@@ -105,7 +105,7 @@
   {
     const std::lock_guard lock(this->mutex);
     ++this->finished;
-    this->whole += aCaller.Result().outcome == Outcome::Whole ? 1 : 0;
+    this->correct += aCaller.Result().outcome == Outcome::Correct ? 1 : 0;
     this->changed.notify_one();
   }
 
@@ -117,7 +117,7 @@
     }
     const std::lock_guard lock(this->mutex);
     std::cerr << fmt::format("load: {:4.0f} s, {} of {} over, {} whole, streaming={}\n", aSeconds,
-                             this->finished, this->callers.size(), this->whole, streaming);
+                             this->finished, this->callers.size(), this->correct, streaming);
   }
 
   const std::vector<PlannedRequest>& plan;
@@ -128,8 +128,8 @@
   std::mutex mutex;
   std::condition_variable changed;
   std::size_t finished = 0;
-  std::size_t whole = 0;
-  std::chrono::duration<double> nextProgress{ kProgressRound };
+  std::size_t correct = 0;
+  std::chrono::duration<double> nextProgress{ kProgressInterval };
 };
 
 } // namespace
@@ -146,17 +146,17 @@
     return 0;
   }
   po::notify(values);
-  options.settings.spread = Milliseconds(options.spreadMs);
+  options.settings.startWindow = Milliseconds(options.spreadMs);
   for (auto& daemon : options.daemons) {
     daemon.insert(0, "http://");
   }
   const auto manifest = ReadManifestFile(options.manifestFile);
   const auto plan = PlanLoad(manifest, options.settings);
   const auto platform = "http://" + options.platform;
-  const auto before = ReadFleetAccount(platform);
+  const auto before = ReadFleetCounters(platform);
   LoadRun run(plan, options.daemons);
   run.Run();
-  const LoadReport report(run.Callers(), before, ReadFleetAccount(platform));
+  const LoadReport report(run.Callers(), before, ReadFleetCounters(platform));
   std::cout << (options.json ? report.ToJson() + "\n" : report.ToText());
   return report.IsClean() ? 0 : 1;
 }
--- a/StandIns/Load/LoadCommand.h
+++ b/StandIns/Load/LoadCommand.h
@@ -5,8 +5,8 @@
 
 namespace lagoonward::standins {
 
-/// `lagoonward-standins load`: sends a planned load to daemons and judges every answer.
-/// @return 0 only if nothing was lost, doubled or wrong
+/// `lagoonward-standins load`: sends a planned load to daemons and verifies every answer.
+/// @return 0 only if no request was lost, duplicated or answered incorrectly
 [[nodiscard]] int
 RunLoad(const std::vector<std::string>& aArguments);
 
--- a/StandIns/Load/LoadPlan.cpp
+++ b/StandIns/Load/LoadPlan.cpp
@@ -15,7 +15,7 @@
 
 using nlohmann::json;
 
-/// Drafts of one dossier share their beginning; so many drafts share a dossier.
+/// Number of consecutive drafts that share a dossier, and so a prompt prefix.
 constexpr int kDraftsPerDossier = 4;
 
 /// Builds the requests of one plan.
@@ -28,35 +28,36 @@
     , random(aSettings.seed)
   {
     if (aManifest.models.empty() || aManifest.classes.empty() || aManifest.clients.empty()) {
-      throw std::invalid_argument("the manifest lacks models, classes or clients");
+      throw std::invalid_argument(
+        "the manifest must have models, classes and clients to plan a load");
     }
     const auto byPriority = [](const ManifestClass& aFirst, const ManifestClass& aSecond) {
       return aFirst.priority < aSecond.priority;
     };
     const auto ends =
       std::minmax_element(aManifest.classes.begin(), aManifest.classes.end(), byPriority);
-    this->patient = &*ends.first;
-    this->urgent = &*ends.second;
+    this->lowestClass = &*ends.first;
+    this->highestClass = &*ends.second;
   }
 
   [[nodiscard]] PlannedRequest Draft(int aIndex)
   {
-    auto request = this->Begin(RequestKind::Draft, aIndex, *this->patient);
+    auto request = this->Begin(RequestKind::Draft, aIndex, *this->lowestClass);
     const auto& model = this->manifest.models.front();
-    // Every other draft names an adapter, in one of the ways that a caller may
+    // Every other draft names an adapter, alternately with and without its version
     std::string name = model.name;
     std::string adapter;
     if (!model.adapters.empty() && aIndex % 2 == 1) {
       const auto& first = model.adapters.front();
-      const bool naming = aIndex % 4 == 3;
-      const auto& version = naming ? first.versions.back() : first.versions.front();
-      name += ":" + first.name + (naming ? "@" + version : "");
+      const bool namesVersion = aIndex % 4 == 3;
+      const auto& version = namesVersion ? first.versions.back() : first.versions.front();
+      name += ":" + first.name + (namesVersion ? "@" + version : "");
       adapter = first.name + "@" + version;
     }
     const auto prompt =
-      this->Dossier(aIndex / kDraftsPerDossier) + fmt::format(" assess item {}", aIndex);
+      this->BuildDossier(aIndex / kDraftsPerDossier) + fmt::format(" assess item {}", aIndex);
     request.stream = true;
-    request.continues = aIndex % 2 == 0;
+    request.resumes = aIndex % 2 == 0;
     this->FillCompletion(request, name, { model.name, model.version, adapter, 0, prompt },
                          this->settings.draftTokens);
     return request;
@@ -64,7 +65,7 @@
 
   [[nodiscard]] PlannedRequest Status(int aIndex)
   {
-    auto request = this->Begin(RequestKind::Status, aIndex, *this->urgent);
+    auto request = this->Begin(RequestKind::Status, aIndex, *this->highestClass);
     const auto& model = this->manifest.models.back();
     const auto prompt = fmt::format("may plant {} release its wastewater now", aIndex);
     request.stream = aIndex % 2 == 0;
@@ -75,7 +76,7 @@
 
   [[nodiscard]] PlannedRequest Call(RequestKind aKind, int aIndex)
   {
-    auto request = this->Begin(aKind, aIndex, *this->urgent);
+    auto request = this->Begin(aKind, aIndex, *this->highestClass);
     const auto& service = this->ServiceFor(aKind);
     const std::string path = aKind == RequestKind::Submission ? "/submit" : "/lookup";
     request.path = "/v1/services/" + service.name + path;
@@ -84,14 +85,14 @@
     return request;
   }
 
-  [[nodiscard]] bool Serves(RequestKind aKind) const
+  [[nodiscard]] bool HasServiceFor(RequestKind aKind) const
   {
     return std::any_of(this->manifest.services.begin(), this->manifest.services.end(),
-                       [&](const ManifestService& aService) { return Fits(aService, aKind); });
+                       [&](const ManifestService& aService) { return Matches(aService, aKind); });
   }
 
 private:
-  [[nodiscard]] static bool Fits(const ManifestService& aService, RequestKind aKind)
+  [[nodiscard]] static bool Matches(const ManifestService& aService, RequestKind aKind)
   {
     return aService.repeatable == (aKind == RequestKind::Lookup);
   }
@@ -99,7 +100,7 @@
   [[nodiscard]] const ManifestService& ServiceFor(RequestKind aKind) const
   {
     return *std::find_if(this->manifest.services.begin(), this->manifest.services.end(),
-                         [&](const ManifestService& aService) { return Fits(aService, aKind); });
+                         [&](const ManifestService& aService) { return Matches(aService, aKind); });
   }
 
   [[nodiscard]] PlannedRequest Begin(RequestKind aKind, int aIndex, const ManifestClass& aClass)
@@ -113,8 +114,9 @@
     request.market = this->manifest.market;
     request.className = aClass.name;
     request.deadline = aClass.deadline;
-    // Drafts start early, so that there is something to move; the rest comes throughout
-    const auto spread = static_cast<std::uint64_t>(this->settings.spread.count());
+    // Drafts start in the first third, so that long streams are active during the rest of the run and can be
+    // migrated; the other requests are distributed over the whole window
+    const auto spread = static_cast<std::uint64_t>(this->settings.startWindow.count());
     const auto window = aKind == RequestKind::Draft ? spread / 3 : spread;
     request.startAfter = Milliseconds(this->random() % std::max<std::uint64_t>(1, window));
     return request;
@@ -136,7 +138,7 @@
     aRequest.expected = AnswerText(aQuestion, aMaxTokens);
   }
 
-  [[nodiscard]] std::string Dossier(int aNumber) const
+  [[nodiscard]] std::string BuildDossier(int aNumber) const
   {
     std::string text;
     for (int word = 0; word < this->settings.draftWords; ++word) {
@@ -148,8 +150,8 @@
   const Manifest& manifest;
   const LoadSettings& settings;
   std::mt19937_64 random;
-  const ManifestClass* patient = nullptr; ///< Lowest priority.
-  const ManifestClass* urgent = nullptr;  ///< Highest priority.
+  const ManifestClass* lowestClass = nullptr;  ///< Lowest priority.
+  const ManifestClass* highestClass = nullptr; ///< Highest priority.
 };
 
 } // namespace
@@ -183,11 +185,12 @@
   for (int index = 0; index < aSettings.statusChecks; ++index) {
     plan.push_back(planner.Status(index));
   }
-  for (int index = 0; index < aSettings.lookups && planner.Serves(RequestKind::Lookup); ++index) {
+  for (int index = 0; index < aSettings.lookups && planner.HasServiceFor(RequestKind::Lookup);
+       ++index) {
     plan.push_back(planner.Call(RequestKind::Lookup, index));
   }
-  for (int index = 0; index < aSettings.submissions && planner.Serves(RequestKind::Submission);
-       ++index) {
+  for (int index = 0;
+       index < aSettings.submissions && planner.HasServiceFor(RequestKind::Submission); ++index) {
     plan.push_back(planner.Call(RequestKind::Submission, index));
   }
   std::stable_sort(plan.begin(), plan.end(),
--- a/StandIns/Load/LoadReport.cpp
+++ b/StandIns/Load/LoadReport.cpp
@@ -18,35 +18,35 @@
 
 constexpr std::chrono::seconds kFetchTimeout{ 10 };
 
-/// The platform may just be away: it is asked so often, with this pause.
-constexpr int kFetchTries = 60;
-constexpr std::chrono::milliseconds kFetchPause{ 250 };
+/// The platform may be in an outage: maximum number of requests, and the delay between them.
+constexpr int kMaxFetches = 60;
+constexpr std::chrono::milliseconds kFetchRetryDelay{ 250 };
 
-/// Faults and notes that the text lists, at most.
-constexpr std::size_t kLinesShown = 20;
+/// Maximum number of faults and of notes in the text report.
+constexpr std::size_t kMaxLines = 20;
 
 json
 FetchJson(const std::string& aUrl)
 {
-  for (int tries = 0; tries < kFetchTries; ++tries) {
+  for (int attempts = 0; attempts < kMaxFetches; ++attempts) {
     const auto answer = Fetch("GET", aUrl, {}, kFetchTimeout);
     if (answer.status == 200) {
       return json::parse(answer.body);
     }
-    std::this_thread::sleep_for(kFetchPause);
+    std::this_thread::sleep_for(kFetchRetryDelay);
   }
-  throw std::runtime_error("no answer from " + aUrl);
+  throw std::runtime_error("no successful response from " + aUrl);
 }
 
-/// The value below which aShare of the values lie; zero where there is none.
+/// The aQuantile quantile of the values; zero if there are none.
 std::int64_t
-Percentile(std::vector<std::int64_t> aValues, double aShare)
+Percentile(std::vector<std::int64_t> aValues, double aQuantile)
 {
   if (aValues.empty()) {
     return 0;
   }
   const auto last = static_cast<double>(aValues.size() - 1);
-  const auto place = aValues.begin() + static_cast<std::ptrdiff_t>(last * aShare);
+  const auto place = aValues.begin() + static_cast<std::ptrdiff_t>(last * aQuantile);
   std::nth_element(aValues.begin(), place, aValues.end());
   return *place;
 }
@@ -54,31 +54,31 @@
 void
 AppendLines(std::string& aText, std::string_view aTitle, const std::vector<std::string>& aLines)
 {
-  for (std::size_t index = 0; index < std::min(aLines.size(), kLinesShown); ++index) {
+  for (std::size_t index = 0; index < std::min(aLines.size(), kMaxLines); ++index) {
     aText += fmt::format("{}: {}\n", aTitle, aLines[index]);
   }
-  if (aLines.size() > kLinesShown) {
-    aText += fmt::format("{}: and {} more\n", aTitle, aLines.size() - kLinesShown);
+  if (aLines.size() > kMaxLines) {
+    aText += fmt::format("{}: and {} more\n", aTitle, aLines.size() - kMaxLines);
   }
 }
 
 } // namespace
 
-FleetAccount
-ReadFleetAccount(const std::string& aPlatformUrl)
+FleetCounters
+ReadFleetCounters(const std::string& aPlatformUrl)
 {
   const auto fleet = FetchJson(aPlatformUrl + "/fleet");
   const auto stats = FetchJson(aPlatformUrl + "/stats");
-  FleetAccount account;
-  account.executions = fleet.at("executions").get<std::map<std::string, std::int64_t>>();
-  account.recomputed = fleet.at("recomputed").get<std::int64_t>();
-  account.generated = fleet.at("generated").get<std::int64_t>();
-  account.cost = stats.at("cost").get<double>();
-  return account;
+  FleetCounters counters;
+  counters.executions = fleet.at("executions").get<std::map<std::string, std::int64_t>>();
+  counters.recomputed = fleet.at("recomputed").get<std::int64_t>();
+  counters.generated = fleet.at("generated").get<std::int64_t>();
+  counters.cost = stats.at("cost").get<double>();
+  return counters;
 }
 
 LoadReport::LoadReport(const std::vector<std::unique_ptr<Caller>>& aCallers,
-                       const FleetAccount& aBefore, const FleetAccount& aAfter)
+                       const FleetCounters& aBefore, const FleetCounters& aAfter)
   : recomputed(aAfter.recomputed - aBefore.recomputed)
   , generated(aAfter.generated - aBefore.generated)
   , cost(aAfter.cost - aBefore.cost)
@@ -89,16 +89,16 @@
 }
 
 void
-LoadReport::CountCaller(const Caller& aCaller, const FleetAccount& aAfter)
+LoadReport::CountCaller(const Caller& aCaller, const FleetCounters& aAfter)
 {
   const auto& request = aCaller.Request();
   const auto& result = aCaller.Result();
   ++this->requests;
   ++this->outcomes[result.outcome];
-  this->retried += result.tries > 1 ? 1 : 0;
+  this->retried += result.attempts > 1 ? 1 : 0;
   auto& row = this->classes[ToString(request.kind)];
   ++row.requests;
-  if (result.outcome == Outcome::Whole) {
+  if (result.outcome == Outcome::Correct) {
     row.firstTokens.push_back(result.firstToken.count());
     row.totals.push_back(result.total.count());
     row.longestGap = std::max(row.longestGap, result.longestGap.count());
@@ -106,7 +106,8 @@
     const bool allowed =
       result.outcome == Outcome::RefusedNotRun || result.outcome == Outcome::Unknown;
     auto& list = allowed ? this->notes : this->faults;
-    list.push_back(fmt::format("{} after {} tries: {}", request.key, result.tries, result.detail));
+    list.push_back(
+      fmt::format("{} after {} attempts: {}", request.key, result.attempts, result.detail));
   }
   if (request.kind == RequestKind::Submission || request.kind == RequestKind::Lookup) {
     const auto found = aAfter.executions.find(ExecutionKey(request.body));
@@ -120,16 +121,17 @@
   const auto& key = aCaller.Request().key;
   const auto outcome = aCaller.Result().outcome;
   if (aCaller.Request().kind == RequestKind::Submission && aCount > 1) {
-    ++this->doubled;
-    this->faults.push_back(fmt::format("{} ran {} times", key, aCount));
+    ++this->duplicated;
+    this->faults.push_back(
+      fmt::format("{} was executed {} times, expected at most once", key, aCount));
   }
   if (outcome == Outcome::RefusedNotRun && aCount > 0) {
-    ++this->brokenPromises;
-    this->faults.push_back(fmt::format("{} was refused as not run, and ran", key));
+    ++this->executedAfterRefusal;
+    this->faults.push_back(fmt::format("{} was refused as not run, but was executed", key));
   }
-  if (outcome == Outcome::Whole && aCount == 0) {
-    ++this->answeredNotRun;
-    this->faults.push_back(fmt::format("{} was answered, and nothing ran", key));
+  if (outcome == Outcome::Correct && aCount == 0) {
+    ++this->answeredWithoutExecution;
+    this->faults.push_back(fmt::format("{} was answered, but was not executed", key));
   }
 }
 
@@ -152,12 +154,12 @@
   };
   line("requests", this->requests);
   line("accepted", this->requests - count(Outcome::RefusedNotRun));
-  line("answered whole", count(Outcome::Whole));
-  line("lost", count(Outcome::Lost) + count(Outcome::Open));
+  line("answered whole", count(Outcome::Correct));
+  line("lost", count(Outcome::Lost) + count(Outcome::Pending));
   line("wrong answers", count(Outcome::Wrong));
-  line("duplicated", this->doubled);
+  line("duplicated", this->duplicated);
   line("refused, not run", count(Outcome::RefusedNotRun));
-  line("refused as not run, but ran", this->brokenPromises);
+  line("refused as not run, but ran", this->executedAfterRefusal);
   line("outcome unknown (non-idempotent)", count(Outcome::Unknown));
   line("callers who came back", this->retried);
   line("tokens generated", this->generated);
@@ -193,12 +195,12 @@
   }
   return json{
     { "requests", this->requests },
-    { "answered_whole", count(Outcome::Whole) },
-    { "lost", count(Outcome::Lost) + count(Outcome::Open) },
+    { "answered_whole", count(Outcome::Correct) },
+    { "lost", count(Outcome::Lost) + count(Outcome::Pending) },
     { "wrong", count(Outcome::Wrong) },
-    { "duplicated", this->doubled },
+    { "duplicated", this->duplicated },
     { "refused_not_run", count(Outcome::RefusedNotRun) },
-    { "broken_promises", this->brokenPromises },
+    { "broken_promises", this->executedAfterRefusal },
     { "unknown", count(Outcome::Unknown) },
     { "retried", this->retried },
     { "tokens_generated", this->generated },
--- a/StandIns/Options.cpp
+++ b/StandIns/Options.cpp
@@ -12,7 +12,7 @@
 
 namespace po = boost::program_options;
 
-/// Shorthand for a flag with a default.
+/// Option that is bound to aTarget and has its current value as default.
 template<typename Value>
 po::typed_value<Value>*
 Bind(Value& aTarget)
@@ -20,13 +20,13 @@
   return po::value<Value>(&aTarget)->default_value(aTarget);
 }
 
-/// The models and adapters that the manifest asks for, every version of them.
-std::vector<HeldModel>
+/// The manifest's models and adapters, with every version of each adapter.
+std::vector<EngineModel>
 ModelsOf(const Manifest& aManifest)
 {
-  std::vector<HeldModel> models;
+  std::vector<EngineModel> models;
   for (const auto& wanted : aManifest.models) {
-    HeldModel model{ wanted.name, wanted.version, {} };
+    EngineModel model{ wanted.name, wanted.version, {} };
     for (const auto& adapter : wanted.adapters) {
       for (const auto& version : adapter.versions) {
         model.adapters.push_back({ adapter.name, version });
@@ -44,7 +44,7 @@
 {
   std::ifstream file(aFile);
   if (!file) {
-    throw std::invalid_argument("cannot read " + aFile);
+    throw std::invalid_argument("cannot read manifest file " + aFile);
   }
   const std::string text{ std::istreambuf_iterator<char>(file), {} };
   auto reading = ReadManifest(text);
@@ -58,21 +58,21 @@
 void
 EngineOptions::Describe(po::options_description& aDescription)
 {
-  auto& to = this->settings;
+  auto& target = this->settings;
   aDescription.add_options()("model", po::value(&this->models)->composing(),
                              "NAME@VERSION[+ADAPTER@VERSION]..., held from the start; repeatable")(
-    "role", Bind(to.role), "role from the start")("fenced", po::bool_switch(&to.fenced),
-                                                  "refuse orders with an old fencing number")(
-    "max-batch", Bind(to.maxBatch), "streams that run at once")(
+    "role", Bind(target.role), "role from the start")("fenced", po::bool_switch(&target.fenced),
+                                                      "refuse orders with an old fencing number")(
+    "max-batch", Bind(target.maxBatch), "streams that run at once")(
     "step-base-us", Bind(this->stepBaseUs), "length of a step, microseconds")(
     "step-per-stream-us", Bind(this->stepPerStreamUs), "what each running stream adds to it")(
-    "prefill-tokens-per-second", Bind(to.prefillTokensPerSecond), "speed of reading prompts")(
-    "prefill-chunk", Bind(to.prefillChunk), "prompt tokens read in one step")(
-    "kv-blocks", Bind(to.kvBlocks), "KV memory, blocks of 16 tokens")(
-    "kv-bytes-per-second", Bind(to.kvBytesPerSecond), "speed of a KV import")(
+    "prefill-tokens-per-second", Bind(target.prefillTokensPerSecond), "speed of reading prompts")(
+    "prefill-chunk", Bind(target.prefillChunk), "prompt tokens read in one step")(
+    "kv-blocks", Bind(target.kvBlocks), "KV memory, blocks of 16 tokens")(
+    "kv-bytes-per-second", Bind(target.kvBytesPerSecond), "speed of a KV import")(
     "load-lag-ms", Bind(this->loadLagMs), "age that the load report may have")(
     "cache-event-delay-ms", Bind(this->cacheEventDelayMs), "cache events are told so late")(
-    "cache-events-kept", Bind(to.cacheEventsKept), "older cache events become a gap")(
+    "cache-events-kept", Bind(target.maxCacheEvents), "older cache events become a gap")(
     "model-load-ms", Bind(this->modelLoadMs), "length of a load order")(
     "orphan-ms", Bind(this->orphanMs), "a stream that nobody reads is cancelled after this");
 }
@@ -82,31 +82,31 @@
 {
   auto result = this->settings;
   for (const auto& model : this->models) {
-    result.models.push_back(HeldModel::Parse(model));
+    result.models.push_back(EngineModel::Parse(model));
   }
   result.stepBase = std::chrono::microseconds(this->stepBaseUs);
   result.stepPerStream = std::chrono::microseconds(this->stepPerStreamUs);
   result.loadLag = std::chrono::milliseconds(this->loadLagMs);
   result.cacheEventDelay = std::chrono::milliseconds(this->cacheEventDelayMs);
   result.modelLoadTime = std::chrono::milliseconds(this->modelLoadMs);
-  result.orphanTime = std::chrono::milliseconds(this->orphanMs);
+  result.orphanTimeout = std::chrono::milliseconds(this->orphanMs);
   return result;
 }
 
 void
 PlatformOptions::Describe(po::options_description& aDescription)
 {
-  auto& to = this->settings;
-  aDescription.add_options()("region", Bind(to.cloud.region), "region of hosts started here")(
+  auto& target = this->settings;
+  aDescription.add_options()("region", Bind(target.cloud.region), "region of hosts started here")(
     "domain", po::value(&this->failureDomains)->composing(), "failure domain; repeatable")(
     "machine-class", po::value(&this->machineClasses)->composing(), "machine class; repeatable")(
-    "appends-per-second", Bind(to.log.appendsPerSecond), "log: more is answered 429")(
-    "records-kept", Bind(to.log.recordsKept), "log: records kept per stream")(
+    "appends-per-second", Bind(target.log.appendsPerSecond), "log: more is answered 429")(
+    "records-kept", Bind(target.log.maxRecords), "log: records kept per stream")(
     "retention-ms", Bind(this->retentionMs),
     "log: older records go")("host-list-lag-ms", Bind(this->hostListLagMs), "age of the host list")(
     "start-ms", Bind(this->startMs), "cloud: time until a host listens")(
     "notice-delay-ms", Bind(this->noticeDelayMs), "cloud: notices come so late")(
-    "weight-reads-per-second", Bind(to.weights.readsPerSecond), "weight store: more is 429")(
+    "weight-reads-per-second", Bind(target.weights.readsPerSecond), "weight store: more is 429")(
     "weight-read-ms", Bind(this->weightReadMs), "weight store: length of a read");
 }
 
--- a/StandIns/Options.h
+++ b/StandIns/Options.h
@@ -11,18 +11,19 @@
 
 namespace lagoonward::standins {
 
-/// The manifest in a file. Throws std::invalid_argument naming its first fault.
+/// Reads and validates a manifest file. Throws std::invalid_argument with the first error if the file
+/// cannot be read or the manifest is invalid.
 [[nodiscard]] Manifest
 ReadManifestFile(const std::string& aFile);
 
-/// Flags of an engine. Values are bound to the settings given, which must outlive the parse.
+/// Command-line flags of an engine. The options write into this object, which must outlive the parse.
 class EngineOptions
 {
 public:
   /// Adds the flags to aDescription.
   void Describe(boost::program_options::options_description& aDescription);
 
-  /// The settings as parsed. Throws std::invalid_argument on a model that is none.
+  /// The parsed settings. Throws std::invalid_argument on a malformed model.
   [[nodiscard]] EngineSettings Settings() const;
 
 private:
@@ -36,7 +37,7 @@
   std::int64_t orphanMs = 10000;
 };
 
-/// Flags of a platform.
+/// Command-line flags of a platform.
 class PlatformOptions
 {
 public:
@@ -54,14 +55,14 @@
   std::int64_t weightReadMs = 300;
 };
 
-/// Flags of a fleet, beside those of its platform and engines.
+/// Command-line flags of a fleet, including those of its platform and engines.
 class FleetOptions
 {
 public:
   void Describe(boost::program_options::options_description& aDescription);
 
-  /// Takes models, services, failure domains and machine classes from the manifest, if one is named.
-  /// Throws std::exception where it cannot be read.
+  /// The parsed settings. Models, services, failure domains and machine classes come from the manifest
+  /// if one is given. Throws std::exception if the manifest cannot be read.
   [[nodiscard]] FleetSettings Settings(const ListenAddress& aListen) const;
 
 private:
--- a/StandIns/Platform/CloudStandIn.cpp
+++ b/StandIns/Platform/CloudStandIn.cpp
@@ -14,18 +14,18 @@
 using nlohmann::json;
 using SteadyClock = std::chrono::steady_clock;
 
-/// Longest long poll.
+/// Maximum duration of a long poll.
 constexpr std::int64_t kMaxWaitMs = 30000;
 
-/// Price of an on-demand host of the first machine class in the first failure domain, an hour.
+/// Price per hour of an on-demand host of the first machine class in the first failure domain.
 constexpr double kBasePrice = 4.0;
 
-/// What a reclaimable host costs of the on-demand price.
-constexpr double kReclaimableShare = 0.35;
+/// Price of a reclaimable host relative to the on-demand price.
+constexpr double kReclaimablePriceRatio = 0.35;
 
-/// By how much each further machine class and failure domain costs more.
-constexpr double kClassStep = 0.5;
-constexpr double kDomainStep = 0.06;
+/// Increase of the price factor with each further machine class and failure domain.
+constexpr double kClassPriceIncrement = 0.5;
+constexpr double kDomainPriceIncrement = 0.06;
 
 json
 ToJson(const CloudHost& aHost)
@@ -44,10 +44,10 @@
 } // namespace
 
 CloudStandIn::CloudStandIn(const CloudSettings& aSettings, Scheduler& aScheduler,
-                           Machinery aMachinery)
+                           HostCallbacks aCallbacks)
   : settings(aSettings)
   , scheduler(aScheduler)
-  , machinery(std::move(aMachinery))
+  , callbacks(std::move(aCallbacks))
 {
   double classFactor = 1;
   for (const auto& machineClass : aSettings.machineClasses) {
@@ -55,10 +55,10 @@
     for (const auto& domain : aSettings.failureDomains) {
       const auto price = kBasePrice * classFactor * domainFactor;
       this->prices.push_back({ machineClass, domain, false, price });
-      this->prices.push_back({ machineClass, domain, true, price * kReclaimableShare });
-      domainFactor += kDomainStep;
+      this->prices.push_back({ machineClass, domain, true, price * kReclaimablePriceRatio });
+      domainFactor += kDomainPriceIncrement;
     }
-    classFactor += kClassStep;
+    classFactor += kClassPriceIncrement;
   }
 }
 
@@ -66,7 +66,7 @@
 CloudStandIn::Register(const CloudHost& aHost)
 {
   const std::lock_guard lock(this->mutex);
-  // What runs when the platform starts has been running: no lag for it
+  // Hosts that are registered directly are listed without delay
   this->hosts[aHost.id] = { aHost, SteadyClock::now() - this->settings.hostListLag, {}, {} };
 }
 
@@ -83,17 +83,19 @@
   host.name = body.value("name", std::string());
   host.region = this->settings.region;
   const std::lock_guard lock(this->mutex);
-  if (const auto known = this->tokens.find(token); known != this->tokens.end()) {
-    aExchange->Respond(200, json{ { "id", known->second } }.dump());
+  if (const auto existing = this->clientTokens.find(token); existing != this->clientTokens.end()) {
+    aExchange->Respond(200, json{ { "id", existing->second } }.dump());
     return;
   }
   if (aRefuse) {
     ++this->refusedStarts;
-    aExchange->Respond(503, ErrorBody("no_capacity", "No such machine is to be had there now."));
+    aExchange->Respond(
+      503, ErrorBody("no_capacity",
+                     "No host of this machine class is available in the failure domain."));
     return;
   }
   host.id = fmt::format("host-{}", ++this->nextHost);
-  this->tokens[token] = host.id;
+  this->clientTokens[token] = host.id;
   this->hosts[host.id] = { host, {}, {}, {} };
   ++this->started;
   this->scheduler.After(this->settings.startTime, [this, id = host.id] { this->FinishStart(id); });
@@ -107,20 +109,20 @@
   {
     const std::lock_guard lock(this->mutex);
     auto& entry = this->hosts.at(aId);
-    if (entry.gone) {
+    if (entry.removedAt) {
       return;
     }
     host = entry.host;
   }
-  const bool listens = this->machinery.start && this->machinery.start(host);
+  const bool listens = this->callbacks.start && this->callbacks.start(host);
   const std::lock_guard lock(this->mutex);
   auto& entry = this->hosts.at(aId);
   if (!listens) {
-    entry.gone = SteadyClock::now();
+    entry.removedAt = SteadyClock::now();
     return;
   }
   entry.host = host;
-  entry.running = SteadyClock::now();
+  entry.runningSince = SteadyClock::now();
 }
 
 void
@@ -133,7 +135,7 @@
       aExchange->Respond(404, ErrorBody("unknown_host", "No such host: " + aId));
       return;
     }
-    found->second.leaving = found->second.leaving.value_or(SteadyClock::now());
+    found->second.leavingSince = found->second.leavingSince.value_or(SteadyClock::now());
   }
   this->scheduler.After(std::chrono::milliseconds(0), [this, aId] { this->Remove(aId); });
   aExchange->Respond(200, json{ { "id", aId } }.dump());
@@ -146,30 +148,30 @@
   {
     const std::lock_guard lock(this->mutex);
     const auto found = this->hosts.find(aId);
-    if (found == this->hosts.end() || found->second.gone) {
+    if (found == this->hosts.end() || found->second.removedAt) {
       return;
     }
-    found->second.gone = SteadyClock::now();
+    found->second.removedAt = SteadyClock::now();
     host = found->second.host;
   }
-  if (this->machinery.remove) {
-    this->machinery.remove(host);
+  if (this->callbacks.remove) {
+    this->callbacks.remove(host);
   }
 }
 
 void
 CloudStandIn::List(const Exchange& aExchange)
 {
-  const auto then = SteadyClock::now() - this->settings.hostListLag;
+  const auto asOf = SteadyClock::now() - this->settings.hostListLag;
   json list = json::array();
   const std::lock_guard lock(this->mutex);
   for (const auto& [id, entry] : this->hosts) {
-    const bool listed = entry.running && *entry.running <= then;
-    if (!listed || (entry.gone && *entry.gone <= then)) {
+    const bool listed = entry.runningSince && *entry.runningSince <= asOf;
+    if (!listed || (entry.removedAt && *entry.removedAt <= asOf)) {
       continue;
     }
     auto item = ToJson(entry.host);
-    item["state"] = entry.leaving && *entry.leaving <= then ? "leaving" : "live";
+    item["state"] = entry.leavingSince && *entry.leavingSince <= asOf ? "leaving" : "live";
     list.push_back(std::move(item));
   }
   aExchange->Respond(200, list.dump());
@@ -224,19 +226,19 @@
   const auto wait = std::clamp<std::int64_t>(request.QueryNumber("wait_ms", 0), 0, kMaxWaitMs);
   const std::lock_guard lock(this->mutex);
   if (from < static_cast<std::int64_t>(this->notices.size()) || wait == 0) {
-    aExchange->Respond(200, this->NoticePage(from));
+    aExchange->Respond(200, this->BuildNoticePage(from));
     return;
   }
   this->noticeWaiters.emplace_back(aExchange, from);
   this->scheduler.After(std::chrono::milliseconds(wait),
-                        [this, aExchange, from] { this->AnswerNotices(aExchange, from); });
+                        [this, aExchange, from] { this->CompleteNoticePoll(aExchange, from); });
 }
 
 void
-CloudStandIn::AnswerNotices(const Exchange& aExchange, std::int64_t aFrom)
+CloudStandIn::CompleteNoticePoll(const Exchange& aExchange, std::int64_t aFrom)
 {
   const std::lock_guard lock(this->mutex);
-  aExchange->Respond(200, this->NoticePage(aFrom));
+  aExchange->Respond(200, this->BuildNoticePage(aFrom));
   this->noticeWaiters.erase(
     std::remove_if(this->noticeWaiters.begin(), this->noticeWaiters.end(),
                    [&](const auto& aWaiter) { return aWaiter.first == aExchange; }),
@@ -244,7 +246,7 @@
 }
 
 std::string
-CloudStandIn::NoticePage(std::int64_t aFrom) const
+CloudStandIn::BuildNoticePage(std::int64_t aFrom) const
 {
   json list = json::array();
   for (auto index = static_cast<std::size_t>(aFrom); index < this->notices.size(); ++index) {
@@ -258,12 +260,12 @@
 }
 
 void
-CloudStandIn::GiveNotice(const Notice& aNotice)
+CloudStandIn::PublishNotice(const Notice& aNotice)
 {
   const std::lock_guard lock(this->mutex);
   this->notices.push_back(aNotice);
   for (const auto& [exchange, from] : this->noticeWaiters) {
-    exchange->Respond(200, this->NoticePage(from));
+    exchange->Respond(200, this->BuildNoticePage(from));
   }
   this->noticeWaiters.clear();
 }
@@ -275,35 +277,36 @@
   const auto host = body.value("host", std::string());
   const auto domain = body.value("failure_domain", std::string());
   const std::chrono::milliseconds grace(body.at("grace_ms").get<std::int64_t>());
-  json struck = json::array();
+  json reclaimedIds = json::array();
   Notice notice{ host, domain, ToUnixMilliseconds(std::chrono::system_clock::now()),
                  grace.count() };
   {
     const std::lock_guard lock(this->mutex);
     for (auto& [id, entry] : this->hosts) {
-      const bool hit = host.empty() ? entry.host.failureDomain == domain : id == host;
-      if (!hit || entry.gone || entry.host.kind == "daemon") {
+      const bool matches = host.empty() ? entry.host.failureDomain == domain : id == host;
+      if (!matches || entry.removedAt || entry.host.kind == "daemon") {
         continue;
       }
       if (notice.failureDomain.empty()) {
         notice.failureDomain = entry.host.failureDomain;
       }
-      entry.leaving = entry.leaving.value_or(SteadyClock::now());
+      entry.leavingSince = entry.leavingSince.value_or(SteadyClock::now());
       ++this->reclaimed;
-      struck.push_back(id);
+      reclaimedIds.push_back(id);
       this->scheduler.After(grace, [this, removed = id] { this->Remove(removed); });
     }
   }
-  if (struck.empty()) {
-    aExchange->Respond(404, ErrorBody("unknown_host", "Nothing there to reclaim."));
+  if (reclaimedIds.empty()) {
+    aExchange->Respond(404, ErrorBody("unknown_host", "No running host matches the reclaim."));
     return;
   }
-  this->scheduler.After(this->settings.noticeDelay, [this, notice] { this->GiveNotice(notice); });
-  aExchange->Respond(200, json{ { "hosts", struck } }.dump());
+  this->scheduler.After(this->settings.noticeDelay,
+                        [this, notice] { this->PublishNotice(notice); });
+  aExchange->Respond(200, json{ { "hosts", reclaimedIds } }.dump());
 }
 
 void
-CloudStandIn::RegisterByHand(const Exchange& aExchange)
+CloudStandIn::RegisterExternal(const Exchange& aExchange)
 {
   const auto body = json::parse(aExchange->Request().body);
   CloudHost host;
@@ -321,7 +324,7 @@
 }
 
 void
-CloudStandIn::RemoveByHand(const Exchange& aExchange, const std::string& aId)
+CloudStandIn::RemoveExternal(const Exchange& aExchange, const std::string& aId)
 {
   this->Stop(aExchange, aId);
 }
@@ -329,7 +332,7 @@
 void
 CloudStandIn::Describe(const Exchange& aExchange)
 {
-  aExchange->Respond(200, this->machinery.describe ? this->machinery.describe() : "{}");
+  aExchange->Respond(200, this->callbacks.describe ? this->callbacks.describe() : "{}");
 }
 
 std::string
@@ -339,9 +342,9 @@
   const auto now = SteadyClock::now();
   double cost = 0;
   for (const auto& [id, entry] : this->hosts) {
-    if (entry.running) {
+    if (entry.runningSince) {
       const std::chrono::duration<double, std::ratio<3600>> hours =
-        entry.gone.value_or(now) - *entry.running;
+        entry.removedAt.value_or(now) - *entry.runningSince;
       cost += hours.count() * this->PriceOf(entry.host);
     }
   }
--- a/StandIns/Platform/LogStandIn.cpp
+++ b/StandIns/Platform/LogStandIn.cpp
@@ -10,7 +10,7 @@
 
 using nlohmann::json;
 
-/// Records of one page, unless the reader asks for fewer.
+/// Maximum number of records per page, and the default.
 constexpr std::int64_t kMaxPage = 1000;
 
 bool
@@ -46,7 +46,7 @@
     return;
   }
   const std::lock_guard lock(this->mutex);
-  if (!this->appendRate.Take()) {
+  if (!this->appendRate.TryConsume()) {
     ++this->refused;
     aExchange->Respond(429, ErrorBody("too_many_appends", "Too many appends a second."),
                        "application/json", { { "Retry-After", "1" } });
@@ -58,12 +58,12 @@
   stream.records.push_back({ body, std::chrono::steady_clock::now() });
   this->Expire(stream);
   aExchange->Respond(200, json{ { "offset", offset } }.dump());
-  // Whoever waits for it gets it now
+  // Complete the long polls that wait for this record
   auto waiters = std::move(stream.waiters);
   stream.waiters.clear();
   for (auto& waiter : waiters) {
     if (waiter.from <= offset) {
-      waiter.exchange->Respond(200, Page(stream, waiter.from, waiter.limit));
+      waiter.exchange->Respond(200, BuildPage(stream, waiter.from, waiter.limit));
     } else {
       stream.waiters.push_back(std::move(waiter));
     }
@@ -83,23 +83,23 @@
   this->Expire(stream);
   const auto end = stream.start + static_cast<std::int64_t>(stream.records.size());
   if (from < end || wait.count() == 0) {
-    aExchange->Respond(200, Page(stream, from, limit));
+    aExchange->Respond(200, BuildPage(stream, from, limit));
     return;
   }
   const auto id = this->nextWaiter++;
   stream.waiters.push_back({ id, aExchange, from, limit });
-  this->scheduler.After(wait, [this, aName, id] { this->GiveUp(aName, id); });
+  this->scheduler.After(wait, [this, aName, id] { this->CompleteTimedOutRead(aName, id); });
 }
 
 void
-LogStandIn::GiveUp(const std::string& aName, std::int64_t aWaiter)
+LogStandIn::CompleteTimedOutRead(const std::string& aName, std::int64_t aWaiter)
 {
   const std::lock_guard lock(this->mutex);
   auto& stream = this->streams[aName];
   const auto found = std::find_if(stream.waiters.begin(), stream.waiters.end(),
                                   [&](const Waiter& aOther) { return aOther.id == aWaiter; });
   if (found != stream.waiters.end()) {
-    found->exchange->Respond(200, Page(stream, found->from, found->limit));
+    found->exchange->Respond(200, BuildPage(stream, found->from, found->limit));
     stream.waiters.erase(found);
   }
 }
@@ -126,7 +126,7 @@
 LogStandIn::Expire(Stream& aStream) const
 {
   const auto oldest = std::chrono::steady_clock::now() - this->settings.retention;
-  while (!aStream.records.empty() && (aStream.records.size() > this->settings.recordsKept ||
+  while (!aStream.records.empty() && (aStream.records.size() > this->settings.maxRecords ||
                                       aStream.records.front().at < oldest)) {
     aStream.records.pop_front();
     ++aStream.start;
@@ -134,7 +134,7 @@
 }
 
 std::string
-LogStandIn::Page(const Stream& aStream, std::int64_t aFrom, std::int64_t aLimit)
+LogStandIn::BuildPage(const Stream& aStream, std::int64_t aFrom, std::int64_t aLimit)
 {
   const auto end = aStream.start + static_cast<std::int64_t>(aStream.records.size());
   json records = json::array();
--- a/StandIns/Platform/LogStandIn.h
+++ b/StandIns/Platform/LogStandIn.h
@@ -13,18 +13,18 @@
 
 namespace lagoonward::standins {
 
-/// What the log service is like.
+/// Settings of the log service.
 struct LogSettings
 {
-  double appendsPerSecond = 300;                 ///< Over all streams; more is answered 429.
-  std::size_t recordsKept = 100000;              ///< Per stream.
-  std::chrono::milliseconds retention{ 600000 }; ///< Older records go.
+  double appendsPerSecond = 300;   ///< Over all streams; further appends get status 429.
+  std::size_t maxRecords = 100000; ///< Per stream.
+  std::chrono::milliseconds retention{ 600000 }; ///< Older records are dropped.
   std::size_t maxRecordBytes = std::size_t{ 1 } << 20U;
-  std::chrono::milliseconds maxWait{ 30000 }; ///< Longest long poll.
+  std::chrono::milliseconds maxWait{ 30000 }; ///< Maximum duration of a long poll.
 };
 
-/// The platform's append-only log: streams of records with offsets from 0, limited retention, limited
-/// appends a second. Safe from any thread.
+/// Simulated append-only log of the platform: streams of records with offsets from 0, limited retention
+/// and limited append rate. Thread-safe.
 class LogStandIn
 {
 public:
@@ -38,10 +38,10 @@
   /// `GET /streams/{name}?from=N&limit=M&wait_ms=T`.
   void Read(const Exchange& aExchange, const std::string& aName);
 
-  /// Drops all records of a stream before the offset, as if they had lapsed.
+  /// Drops all records of a stream before the offset, as if their retention had expired.
   void DropBefore(const std::string& aName, std::int64_t aOffset);
 
-  /// Appends taken and appends refused for their rate, as JSON text.
+  /// JSON text with the numbers of appends accepted and refused because of the rate limit.
   [[nodiscard]] std::string Stats();
 
 private:
@@ -51,7 +51,7 @@
     std::chrono::steady_clock::time_point at;
   };
 
-  /// A reader that waits for the stream's next record.
+  /// A long poll that waits for the stream's next record.
   struct Waiter
   {
     std::int64_t id = 0;
@@ -68,9 +68,9 @@
   };
 
   void Expire(Stream& aStream) const;
-  [[nodiscard]] static std::string Page(const Stream& aStream, std::int64_t aFrom,
-                                        std::int64_t aLimit);
-  void GiveUp(const std::string& aName, std::int64_t aWaiter);
+  [[nodiscard]] static std::string BuildPage(const Stream& aStream, std::int64_t aFrom,
+                                             std::int64_t aLimit);
+  void CompleteTimedOutRead(const std::string& aName, std::int64_t aWaiter);
 
   const LogSettings settings;
   Scheduler& scheduler;
--- a/StandIns/Platform/PlatformStandIn.cpp
+++ b/StandIns/Platform/PlatformStandIn.cpp
@@ -11,18 +11,18 @@
 } // namespace
 
 PlatformStandIn::PlatformStandIn(const PlatformSettings& aSettings, const ListenAddress& aListen,
-                                 Scheduler& aScheduler, CloudStandIn::Machinery aMachinery)
+                                 Scheduler& aScheduler, CloudStandIn::HostCallbacks aCallbacks)
   : settings(aSettings)
   , scheduler(aScheduler)
   , faults(aScheduler, { "refused_start", "truncate" })
   , log(aSettings.log, aScheduler)
-  , cloud(aSettings.cloud, aScheduler, std::move(aMachinery))
+  , cloud(aSettings.cloud, aScheduler, std::move(aCallbacks))
   , weightRate(aSettings.weights.readsPerSecond)
   , server(aListen, [this](const Exchange& aExchange) {
     this->faults.Filter(aExchange, [this](const Exchange& aPassed) { this->Route(aPassed); });
   })
 {
-  this->faults.Attach(&this->server);
+  this->faults.AttachServer(&this->server);
   this->faults.OnImmediate(
     "truncate", [this](const Fault& aFault) { this->log.DropBefore(aFault.path, aFault.after); });
 }
@@ -72,7 +72,8 @@
 {
   const auto& request = aExchange->Request();
   if (request.path == "/hosts" && request.method == "POST") {
-    this->cloud.Start(aExchange, this->faults.Take("refused_start", request.path).has_value());
+    this->cloud.Start(aExchange,
+                      this->faults.TryConsume("refused_start", request.path).has_value());
   } else if (request.path == "/hosts") {
     this->cloud.List(aExchange);
   } else if (const std::string id(request.PathAfter("/hosts/"));
@@ -100,9 +101,9 @@
   } else if (request.path == "/prices" && request.method == "POST") {
     this->cloud.SetPrices(aExchange);
   } else if (request.path == "/control/hosts" && request.method == "POST") {
-    this->cloud.RegisterByHand(aExchange);
+    this->cloud.RegisterExternal(aExchange);
   } else if (!host.empty() && request.method == "DELETE") {
-    this->cloud.RemoveByHand(aExchange, host);
+    this->cloud.RemoveExternal(aExchange, host);
   } else if (request.path == "/fleet") {
     this->cloud.Describe(aExchange);
   } else if (request.path == "/stats") {
@@ -118,7 +119,7 @@
 {
   {
     const std::lock_guard lock(this->mutex);
-    if (!this->weightRate.Take()) {
+    if (!this->weightRate.TryConsume()) {
       aExchange->Respond(429, ErrorBody("too_many_reads", "Too many reads a second."),
                          "application/json", { { "Retry-After", "1" } });
       return;
--- a/StandIns/Platform/PlatformStandIn.h
+++ b/StandIns/Platform/PlatformStandIn.h
@@ -7,15 +7,15 @@
 
 namespace lagoonward::standins {
 
-/// What the weight store is like.
+/// Settings of the weight store.
 struct WeightStoreSettings
 {
-  double readsPerSecond = 4;                 ///< More is answered 429.
-  std::chrono::milliseconds readTime{ 300 }; ///< Length of one read.
-  std::size_t bytes = 4096;                  ///< Size of what is sent in place of weights.
+  double readsPerSecond = 4;                 ///< Further reads get status 429.
+  std::chrono::milliseconds readTime{ 300 }; ///< Duration of one read.
+  std::size_t bytes = 4096;                  ///< Size of the dummy data sent in place of weights.
 };
 
-/// What the platform is like.
+/// Settings of the platform.
 struct PlatformSettings
 {
   LogSettings log;
@@ -23,19 +23,19 @@
   WeightStoreSettings weights;
 };
 
-/// The platform on one port: log, cloud, host list and weight store; docs/INTERFACES.md has the
-/// formats. A fault's `path` tells which of them it strikes.
+/// Simulated platform on one port: log, cloud, host list and weight store; docs/INTERFACES.md specifies
+/// the formats. The `path` of a fault selects which of them it affects.
 class PlatformStandIn
 {
 public:
   PlatformStandIn(const PlatformSettings& aSettings, const ListenAddress& aListen,
-                  Scheduler& aScheduler, CloudStandIn::Machinery aMachinery);
+                  Scheduler& aScheduler, CloudStandIn::HostCallbacks aCallbacks);
   ~PlatformStandIn();
 
   [[nodiscard]] const ListenAddress& Address() const { return this->server.Address(); }
   [[nodiscard]] CloudStandIn& Cloud() { return this->cloud; }
 
-  /// Stops answering. Before the scheduler ends.
+  /// Stops the server. Must be called before the scheduler is destroyed.
   void Stop();
 
 private:
--- a/StandIns/Platform/RateLimit.cpp
+++ b/StandIns/Platform/RateLimit.cpp
@@ -12,13 +12,13 @@
 }
 
 bool
-RateLimit::Take()
+RateLimit::TryConsume()
 {
   const auto now = std::chrono::steady_clock::now();
-  const std::chrono::duration<double> passed = now - this->filled;
+  const std::chrono::duration<double> elapsed = now - this->filled;
   this->filled = now;
   this->tokens =
-    std::min(std::max(1.0, this->perSecond), this->tokens + passed.count() * this->perSecond);
+    std::min(std::max(1.0, this->perSecond), this->tokens + elapsed.count() * this->perSecond);
   if (this->tokens < 1.0) {
     return false;
   }
--- a/StandIns/Platform/RateLimit.h
+++ b/StandIns/Platform/RateLimit.h
@@ -4,14 +4,14 @@
 
 namespace lagoonward::standins {
 
-/// Token bucket that holds one second's worth. Not thread safe.
+/// Token bucket with a capacity of one second's tokens, at least one. Not thread-safe.
 class RateLimit
 {
 public:
   explicit RateLimit(double aPerSecond);
 
-  /// Takes one token if there is one.
-  [[nodiscard]] bool Take();
+  /// Consumes one token. Returns false if there is none.
+  [[nodiscard]] bool TryConsume();
 
 private:
   double perSecond;
--- a/StandIns/Scheduler.h
+++ b/StandIns/Scheduler.h
@@ -9,7 +9,8 @@
 
 namespace lagoonward::standins {
 
-/// Runs functions later, on one thread of its own, in order of their time. Functions must be short.
+/// Runs delayed functions in order of their due time on a dedicated thread. Functions must return quickly,
+/// because they delay all others. After() is thread-safe.
 class Scheduler
 {
 public:
@@ -18,10 +19,10 @@
   Scheduler& operator=(const Scheduler&) = delete;
   ~Scheduler();
 
-  /// Runs aFunction after aDelay; at once on the scheduler's thread where that is zero or less.
+  /// Runs aFunction on the scheduler's thread after aDelay; as soon as possible if aDelay is zero or negative.
   void After(std::chrono::milliseconds aDelay, std::function<void()> aFunction);
 
-  /// Drops what has not run and ends the thread. Not from one of the functions.
+  /// Discards pending functions and joins the thread. Must not be called from a scheduled function.
   void Stop();
 
 private:
--- a/StandIns/Service/ServiceStandIn.cpp
+++ b/StandIns/Service/ServiceStandIn.cpp
@@ -21,23 +21,23 @@
     this->faults.Filter(aExchange, [this](const Exchange& aPassed) { this->Route(aPassed); });
   })
 {
-  this->faults.Attach(&this->server);
+  this->faults.AttachServer(&this->server);
   this->faults.OnImmediate("vanish", [this](const Fault& aFault) {
-    this->scheduler.After(aFault.duration, [this] { this->Vanish(); });
+    this->scheduler.After(aFault.duration, [this] { this->Terminate(); });
   });
 }
 
 ServiceStandIn::~ServiceStandIn()
 {
-  this->Vanish();
+  this->Terminate();
 }
 
 void
-ServiceStandIn::Vanish()
+ServiceStandIn::Terminate()
 {
   {
     const std::lock_guard lock(this->mutex);
-    this->vanished = true;
+    this->terminated = true;
   }
   this->server.Stop();
 }
@@ -58,11 +58,12 @@
     return;
   }
   if (request.method != "POST") {
-    aExchange->Respond(405, ErrorBody("method_not_allowed", "A call is a POST."));
+    aExchange->Respond(405, ErrorBody("method_not_allowed", "Calls require the POST method."));
     return;
   }
-  if (this->faults.Take("refuse", request.path)) {
-    aExchange->Respond(503, ErrorBody("overloaded", "The service takes nothing now."));
+  if (this->faults.TryConsume("refuse", request.path)) {
+    aExchange->Respond(503,
+                       ErrorBody("overloaded", "The service does not accept requests at present."));
     return;
   }
   this->scheduler.After(this->settings.workTime, [this, aExchange] { this->Execute(aExchange); });
@@ -75,7 +76,7 @@
   std::int64_t count = 0;
   {
     const std::lock_guard lock(this->mutex);
-    if (this->vanished) {
+    if (this->terminated) {
       return;
     }
     count = ++this->executions[ExecutionKey(request.body)];
--- a/StandIns/Service/ServiceStandIn.h
+++ b/StandIns/Service/ServiceStandIn.h
@@ -10,17 +10,17 @@
 
 namespace lagoonward::standins {
 
-/// What one plain service is like.
+/// Settings of one plain service.
 struct ServiceSettings
 {
   std::string id = "service-1";
   std::string name = "permits";
   std::string failureDomain = "here";
-  std::chrono::milliseconds workTime{ 20 }; ///< From the request to its execution and answer.
+  std::chrono::milliseconds workTime{ 20 }; ///< From the request until its execution and response.
 };
 
-/// One plain service: `POST /PATH` executes once per call, and the answer's `result` follows from
-/// name, path and body alone. It keeps count, so that a test sees what ran twice.
+/// Simulated plain service: every `POST /PATH` is executed once, and the response's `result` depends only
+/// on name, path and body. Executions are counted, so that tests can detect duplicates.
 class ServiceStandIn
 {
 public:
@@ -30,10 +30,11 @@
   [[nodiscard]] const ListenAddress& Address() const { return this->server.Address(); }
   [[nodiscard]] const ServiceSettings& Settings() const { return this->settings; }
 
-  /// The host is gone. Not from a handler.
-  void Vanish();
+  /// Simulates the loss of the host: stops the server and executes nothing any more. Must not be called from
+  /// a handler.
+  void Terminate();
 
-  /// How often each call ran: under ExecutionKey() of its body, and under its `Idempotency-Key`.
+  /// Number of executions of each call, by ExecutionKey() of its body and by its `Idempotency-Key`.
   [[nodiscard]] std::map<std::string, std::int64_t> Executions();
 
 private:
@@ -47,7 +48,7 @@
   Faults faults;
   std::mutex mutex;
   std::map<std::string, std::int64_t> executions;
-  bool vanished = false; ///< Nothing executes any more.
+  bool terminated = false; ///< No further calls are executed.
   HttpServer server;
 };
 
--- a/UnitTests/StandIns/CallerTests.cpp
+++ b/UnitTests/StandIns/CallerTests.cpp
@@ -15,36 +15,37 @@
 namespace {
 
 using Exchange = std::shared_ptr<standins::HttpExchange>;
-using Answering = std::function<void(const Exchange&)>;
+using Responder = std::function<void(const Exchange&)>;
 
-/// Answers each try of one request in its scripted way; the last way serves all further tries.
+/// Answers the attempts of one request with the given responders in order; the last one answers all
+/// further attempts.
 class ScriptedDaemon
 {
 public:
-  explicit ScriptedDaemon(std::vector<Answering> aWays)
-    : ways(std::move(aWays))
-    , server(ListenAddress(), [this](const Exchange& aExchange) { this->Answer(aExchange); })
+  explicit ScriptedDaemon(std::vector<Responder> aResponders)
+    : responders(std::move(aResponders))
+    , server(ListenAddress(), [this](const Exchange& aExchange) { this->Respond(aExchange); })
   {
   }
 
   [[nodiscard]] std::string Url() const { return "http://" + this->server.Address().ToString(); }
-  [[nodiscard]] const std::vector<HttpRequest>& Seen() const { return this->seen; }
+  [[nodiscard]] const std::vector<HttpRequest>& Requests() const { return this->requests; }
 
 private:
-  void Answer(const Exchange& aExchange)
+  void Respond(const Exchange& aExchange)
   {
-    this->seen.push_back(aExchange->Request());
-    this->ways[std::min(this->seen.size(), this->ways.size()) - 1](aExchange);
+    this->requests.push_back(aExchange->Request());
+    this->responders[std::min(this->requests.size(), this->responders.size()) - 1](aExchange);
   }
 
-  std::vector<Answering> ways;
-  std::vector<HttpRequest> seen;
+  std::vector<Responder> responders;
+  std::vector<HttpRequest> requests;
   standins::HttpServer server;
 };
 
-/// Sends events with the texts given, numbered from aFirst, and the closing event if it is wanted.
-Answering
-Stream(int aFirst, const std::vector<std::string>& aTexts, bool aWhole)
+/// Streams events with the given texts, numbered from aFirst; then sends [DONE] if aComplete, else aborts.
+Responder
+Stream(int aFirst, const std::vector<std::string>& aTexts, bool aComplete)
 {
   return [=](const Exchange& aExchange) {
     aExchange->BeginStream();
@@ -53,7 +54,7 @@
       const json chunk{ { "choices", json::array({ { { "text", text } } }) } };
       aExchange->Write("id: " + std::to_string(index++) + "\ndata: " + chunk.dump() + "\n\n");
     }
-    if (aWhole) {
+    if (aComplete) {
       aExchange->Write("data: [DONE]\n\n");
       aExchange->End();
     } else {
@@ -62,13 +63,13 @@
   };
 }
 
-Answering
-Refuse(int aStatus, const std::string& aRan, bool aComeBack)
+Responder
+Refuse(int aStatus, const std::string& aRan, bool aRetryable)
 {
   return [=](const Exchange& aExchange) {
     const json body{ { "error", { { "kind", "k" }, { "message", "m" }, { "ran", aRan } } } };
     standins::HttpExchange::Headers headers;
-    if (aComeBack) {
+    if (aRetryable) {
       headers.emplace_back("Retry-After", "1");
     }
     aExchange->Respond(aStatus, body.dump(), "application/json", headers);
@@ -76,7 +77,7 @@
 }
 
 PlannedRequest
-Draft(bool aContinues)
+Draft(bool aResumes)
 {
   PlannedRequest request;
   request.kind = RequestKind::Draft;
@@ -84,7 +85,7 @@
   request.path = "/v1/completions";
   request.body = "{}";
   request.stream = true;
-  request.continues = aContinues;
+  request.resumes = aResumes;
   request.expected = " a b c";
   request.deadline = Milliseconds(20000);
   return request;
@@ -100,7 +101,7 @@
   return request;
 }
 
-/// Runs one caller to its end.
+/// Runs one caller until it completes.
 std::unique_ptr<Caller>
 Run(const PlannedRequest& aRequest, const ScriptedDaemon& aDaemon)
 {
@@ -117,11 +118,11 @@
   return caller;
 }
 
-/// The verdict of the report on one caller, with so many executions of its body.
+/// Whether the report on this caller is clean if its body was executed aExecutions times.
 bool
 IsClean(std::unique_ptr<Caller> aCaller, std::int64_t aExecutions)
 {
-  FleetAccount after;
+  FleetCounters after;
   after.executions[ExecutionKey(aCaller->Request().body)] = aExecutions;
   std::vector<std::unique_ptr<Caller>> callers;
   callers.push_back(std::move(aCaller));
@@ -132,28 +133,28 @@
 
 BOOST_AUTO_TEST_SUITE(CallerTests)
 
-BOOST_AUTO_TEST_CASE(TakesOnlyTheRightAnswerForWhole)
+BOOST_AUTO_TEST_CASE(AcceptsOnlyTheExpectedAnswerAsCorrect)
 {
   const auto request = Draft(false);
   const ScriptedDaemon right({ Stream(0, { " a", " b", " c" }, true) });
-  BOOST_CHECK(Run(request, right)->Result().outcome == Outcome::Whole);
+  BOOST_CHECK(Run(request, right)->Result().outcome == Outcome::Correct);
   const ScriptedDaemon missing({ Stream(0, { " a", " c" }, true) });
   BOOST_CHECK(Run(request, missing)->Result().outcome == Outcome::Wrong);
-  const ScriptedDaemon doubled({ Stream(0, { " a", " b", " b", " c" }, true) });
-  BOOST_CHECK(Run(request, doubled)->Result().outcome == Outcome::Wrong);
+  const ScriptedDaemon duplicated({ Stream(0, { " a", " b", " b", " c" }, true) });
+  BOOST_CHECK(Run(request, duplicated)->Result().outcome == Outcome::Wrong);
 }
 
-BOOST_AUTO_TEST_CASE(ContinuesAfterTheLastEvent)
+BOOST_AUTO_TEST_CASE(RetryAfterConnectionLossContinuesAfterTheLastEvent)
 {
   const ScriptedDaemon daemon({ Stream(0, { " a", " b" }, false), Stream(2, { " c" }, true) });
   const auto request = Draft(true);
   const auto caller = Run(request, daemon);
-  BOOST_CHECK(caller->Result().outcome == Outcome::Whole);
-  BOOST_TEST(daemon.Seen().at(1).Header("last-event-id") == "1");
-  BOOST_TEST(daemon.Seen().at(1).Header("idempotency-key") == "key");
+  BOOST_CHECK(caller->Result().outcome == Outcome::Correct);
+  BOOST_TEST(daemon.Requests().at(1).Header("last-event-id") == "1");
+  BOOST_TEST(daemon.Requests().at(1).Header("idempotency-key") == "key");
 }
 
-BOOST_AUTO_TEST_CASE(ContradictingTriesAreWrong)
+BOOST_AUTO_TEST_CASE(InconsistentAttemptsAreWrong)
 {
   const ScriptedDaemon daemon(
     { Stream(0, { " x" }, false), Stream(0, { " a", " b", " c" }, true) });
@@ -161,25 +162,25 @@
   BOOST_CHECK(Run(request, daemon)->Result().outcome == Outcome::Wrong);
 }
 
-BOOST_AUTO_TEST_CASE(ComesBackWhenToldTo)
+BOOST_AUTO_TEST_CASE(RetriesIfTheRefusalHasRetryAfter)
 {
   const ScriptedDaemon daemon({ Refuse(503, "no", true), Stream(0, { " a", " b", " c" }, true) });
   const auto request = Draft(false);
-  BOOST_CHECK(Run(request, daemon)->Result().outcome == Outcome::Whole);
+  BOOST_CHECK(Run(request, daemon)->Result().outcome == Outcome::Correct);
   const ScriptedDaemon final({ Refuse(404, "no", false) });
   BOOST_CHECK(Run(request, final)->Result().outcome == Outcome::RefusedNotRun);
 }
 
-BOOST_AUTO_TEST_CASE(ReportSeesDoubledCallsAndFalsePromises)
+BOOST_AUTO_TEST_CASE(ReportDetectsDuplicatedCallsAndExecutedRefusals)
 {
-  const Answering answer = [](const Exchange& aExchange) {
+  const Responder answer = [](const Exchange& aExchange) {
     aExchange->Respond(200, R"({"result":"r"})");
   };
   const auto request = Submission();
-  const ScriptedDaemon whole({ answer });
-  BOOST_TEST(IsClean(Run(request, whole), 1));
-  BOOST_TEST(!IsClean(Run(request, whole), 2));
-  BOOST_TEST(!IsClean(Run(request, whole), 0));
+  const ScriptedDaemon answered({ answer });
+  BOOST_TEST(IsClean(Run(request, answered), 1));
+  BOOST_TEST(!IsClean(Run(request, answered), 2));
+  BOOST_TEST(!IsClean(Run(request, answered), 0));
   const ScriptedDaemon refused({ Refuse(503, "no", false) });
   BOOST_TEST(IsClean(Run(request, refused), 0));
   BOOST_TEST(!IsClean(Run(request, refused), 1));
--- a/UnitTests/StandIns/EngineClient.h
+++ b/UnitTests/StandIns/EngineClient.h
@@ -11,19 +11,19 @@
 
 namespace lagoonward::standins::test {
 
-/// Time for one answer; tests fail long before by what they compare.
-inline constexpr std::chrono::seconds kPatience{ 20 };
+/// Timeout of one request; generous, so that tests fail by their checks and not by this timeout.
+inline constexpr std::chrono::seconds kTimeout{ 20 };
 
-/// An engine that answers fast, alone in the process.
+/// Settings of an engine with short steps and without delays.
 inline EngineSettings
-QuickEngine()
+FastEngineSettings()
 {
   EngineSettings settings;
   settings.stepBase = std::chrono::microseconds(200);
   settings.stepPerStream = std::chrono::microseconds(1);
   settings.loadLag = settings.cacheEventDelay = std::chrono::milliseconds(0);
   settings.modelLoadTime = std::chrono::milliseconds(0);
-  settings.models = { HeldModel::Parse("drafter@1+county@7") };
+  settings.models = { EngineModel::Parse("drafter@1+county@7") };
   return settings;
 }
 
@@ -43,12 +43,12 @@
   }
 };
 
-/// Sends a completion and reads it to its end.
+/// Sends a completion and reads the complete response.
 inline Completion
 Complete(const ListenAddress& aEngine, const nlohmann::json& aBody)
 {
   const auto answer =
-    Fetch("POST", "http://" + aEngine.ToString() + "/v1/completions", aBody.dump(), kPatience);
+    Fetch("POST", "http://" + aEngine.ToString() + "/v1/completions", aBody.dump(), kTimeout);
   Completion completion{ answer.status, {} };
   EventStreamReader reader(std::size_t{ 1 } << 20U);
   reader.Consume(answer.body, [&](const StreamEvent& aEvent) {
@@ -57,9 +57,9 @@
   return completion;
 }
 
-/// A completion request as a daemon would send it.
+/// Body of a completion request as sent by a daemon.
 inline nlohmann::json
-Ask(const std::string& aPrompt, int aMaxTokens)
+CompletionBody(const std::string& aPrompt, int aMaxTokens)
 {
   return { { "request_id", "r-" + aPrompt },
            { "attempt_id", "a-1" },
@@ -70,9 +70,9 @@
            { "seed", 7 } };
 }
 
-/// The question that Ask() asks.
+/// The question of the request from CompletionBody().
 inline Question
-Asked(const std::string& aPrompt)
+QuestionFor(const std::string& aPrompt)
 {
   return { "drafter", "1", "", 7, aPrompt };
 }
--- a/UnitTests/StandIns/EngineStandInTests.cpp
+++ b/UnitTests/StandIns/EngineStandInTests.cpp
@@ -11,10 +11,10 @@
 
 namespace {
 
-/// One engine and what belongs to it.
+/// One engine with its scheduler and ledger.
 struct Fixture
 {
-  explicit Fixture(const EngineSettings& aSettings = QuickEngine())
+  explicit Fixture(const EngineSettings& aSettings = FastEngineSettings())
     : engine(aSettings, ListenAddress(), this->scheduler, this->ledger)
   {
   }
@@ -31,7 +31,7 @@
                                 const json& aBody = json()) const
   {
     return Fetch(aMethod, "http://" + this->engine.Address().ToString() + aPath,
-                 aBody.is_null() ? std::string() : aBody.dump(), kPatience);
+                 aBody.is_null() ? std::string() : aBody.dump(), kTimeout);
   }
 
   Scheduler scheduler;
@@ -39,10 +39,10 @@
   EngineStandIn engine;
 };
 
-/// Tokens of an answer that is still running whenever the test looks.
+/// Number of tokens of an answer that is still being generated during the checks of a test.
 constexpr int kLongAnswer = 50000;
 
-/// A completion that somebody else is reading, begun before the constructor returns.
+/// A completion that is read on another thread; generation has started when the constructor returns.
 class RunningStream
 {
 public:
@@ -57,7 +57,7 @@
   RunningStream& operator=(const RunningStream&) = delete;
   ~RunningStream() { (void)this->Wait(); }
 
-  /// The answer, once it has ended.
+  /// Waits for the end of the answer.
   [[nodiscard]] const Completion& Wait()
   {
     if (this->thread.joinable()) {
@@ -71,7 +71,7 @@
   std::thread thread;
 };
 
-/// A prompt of so many words.
+/// A prompt of aWords words.
 std::string
 LongPrompt(int aWords)
 {
@@ -86,17 +86,17 @@
 
 BOOST_AUTO_TEST_SUITE(EngineStandInTests)
 
-BOOST_AUTO_TEST_CASE(AnswersAsTheTokenFunctionSays)
+BOOST_AUTO_TEST_CASE(AnswerMatchesTheTokenFunction)
 {
   const Fixture fixture;
-  const auto answer = fixture.Send(Ask("is plant nine safe", 40));
+  const auto answer = fixture.Send(CompletionBody("is plant nine safe", 40));
   BOOST_TEST(answer.status == 200);
-  BOOST_TEST(answer.Text() == AnswerText(Asked("is plant nine safe"), 40));
+  BOOST_TEST(answer.Text() == AnswerText(QuestionFor("is plant nine safe"), 40));
   BOOST_TEST(answer.events.front().at("attempt_id") == "a-1");
   BOOST_TEST(answer.events.back().at("token_count") == answer.events.size() - 2);
 }
 
-BOOST_AUTO_TEST_CASE(EveryPartOfTheQuestionChangesTheAnswer)
+BOOST_AUTO_TEST_CASE(EveryFieldOfTheQuestionChangesTheAnswer)
 {
   const Question base{ "m", "1", "", 7, "p" };
   const auto text = AnswerText(base, 20);
@@ -107,33 +107,33 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(ResumesAfterTheTokensGiven)
+BOOST_AUTO_TEST_CASE(ContinuesAfterTheResumeTokens)
 {
   Fixture fixture;
-  const auto key = AnswerKey(Asked("p"));
-  auto body = Ask("p", 30);
+  const auto key = AnswerKey(QuestionFor("p"));
+  auto body = CompletionBody("p", 30);
   body["resume_tokens"] = { TokenText(key, 0), TokenText(key, 1), TokenText(key, 2) };
   const auto answer = fixture.Send(body);
   BOOST_TEST(answer.events.at(1).at("index") == 3);
   BOOST_TEST(TokenText(key, 0) + TokenText(key, 1) + TokenText(key, 2) + answer.Text() ==
-             AnswerText(Asked("p"), 30));
+             AnswerText(QuestionFor("p"), 30));
   BOOST_TEST(fixture.engine.Counters().divergedResumes == 0);
 }
 
-BOOST_AUTO_TEST_CASE(WrongResumeTokensLeadAstray)
+BOOST_AUTO_TEST_CASE(WrongResumeTokensChangeTheAnswer)
 {
   Fixture fixture;
-  auto body = Ask("p", 30);
+  auto body = CompletionBody("p", 30);
   body["resume_tokens"] = { " wrong!" };
   const auto answer = fixture.Send(body);
   BOOST_TEST(fixture.engine.Counters().divergedResumes == 1);
-  BOOST_TEST(AnswerText(Asked("p"), 30).find(answer.Text()) == std::string::npos);
+  BOOST_TEST(AnswerText(QuestionFor("p"), 30).find(answer.Text()) == std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(RefusesAModelThatItDoesNotHold)
+BOOST_AUTO_TEST_CASE(RefusesAModelThatIsNotLoaded)
 {
   Fixture fixture;
-  auto body = Ask("p", 3);
+  auto body = CompletionBody("p", 3);
   body["model"] = "another";
   BOOST_TEST(fixture.Send(body).status == 404);
   body["model"] = "drafter";
@@ -145,64 +145,64 @@
 BOOST_AUTO_TEST_CASE(CachedPrefixIsNotComputedAgain)
 {
   Fixture fixture;
-  (void)fixture.Send(Ask(LongPrompt(64), 2));
-  (void)fixture.Send(Ask(LongPrompt(64) + "and more", 2));
+  (void)fixture.Send(CompletionBody(LongPrompt(64), 2));
+  (void)fixture.Send(CompletionBody(LongPrompt(64) + "and more", 2));
   const auto counters = fixture.engine.Counters();
   BOOST_TEST(counters.prefillCached == 64);
   BOOST_TEST(counters.prefillComputed == 64 + 2);
   BOOST_TEST(counters.recomputed == 0);
 }
 
-BOOST_AUTO_TEST_CASE(CacheEventsNameTheBlocksThatADaemonComputes)
+BOOST_AUTO_TEST_CASE(CacheEventsHaveTheBlockHashesOfTheDaemon)
 {
   const Fixture fixture;
-  (void)fixture.Send(Ask(LongPrompt(40), 1));
+  (void)fixture.Send(CompletionBody(LongPrompt(40), 1));
   const auto page = json::parse(fixture.Call("GET", "/v1/cache-events?from=0").body);
   const auto blocks = lagoonward::PromptBlocks::Split("drafter", "1", "", LongPrompt(40));
   BOOST_TEST(page.at("end") == 2);
   for (std::size_t index = 0; index < blocks.hashes.size(); ++index) {
-    const auto told = page.at("events").at(index).at("blocks").at(0).get<std::string>();
-    BOOST_TEST(std::stoull(told, nullptr, 16) == blocks.hashes[index]);
+    const auto published = page.at("events").at(index).at("blocks").at(0).get<std::string>();
+    BOOST_TEST(std::stoull(published, nullptr, 16) == blocks.hashes[index]);
   }
 }
 
-BOOST_AUTO_TEST_CASE(SameRequestElsewhereCountsAsRecomputed)
+BOOST_AUTO_TEST_CASE(SameRequestOnAnotherEngineCountsAsRecomputed)
 {
   Fixture fixture;
-  EngineStandIn other(QuickEngine(), ListenAddress(), fixture.scheduler, fixture.ledger);
-  (void)fixture.Send(Ask(LongPrompt(20), 4));
-  (void)Complete(other.Address(), Ask(LongPrompt(20), 4));
+  EngineStandIn other(FastEngineSettings(), ListenAddress(), fixture.scheduler, fixture.ledger);
+  (void)fixture.Send(CompletionBody(LongPrompt(20), 4));
+  (void)Complete(other.Address(), CompletionBody(LongPrompt(20), 4));
   BOOST_TEST(fixture.engine.Counters().recomputed == 0);
   const auto counters = other.Counters();
   BOOST_TEST(counters.recomputed == counters.prefillComputed + counters.generated);
 }
 
-BOOST_AUTO_TEST_CASE(ImportedCacheSavesThePrefill)
+BOOST_AUTO_TEST_CASE(ImportedBlocksNeedNoPrefill)
 {
   Fixture fixture;
-  EngineStandIn other(QuickEngine(), ListenAddress(), fixture.scheduler, fixture.ledger);
-  RunningStream running(fixture, Ask(LongPrompt(48), kLongAnswer));
+  EngineStandIn other(FastEngineSettings(), ListenAddress(), fixture.scheduler, fixture.ledger);
+  RunningStream running(fixture, CompletionBody(LongPrompt(48), kLongAnswer));
   json exported;
   do {
     exported = json::parse(fixture.Call("POST", "/v1/streams/engine-1-s0/export").body);
   } while (exported.at("bytes") == 0);
   const json order{ { "kv_id", exported.at("kv_id") },
                     { "from", fixture.engine.Address().ToString() } };
-  const auto imported = Fetch("POST", "http://" + other.Address().ToString() + "/v1/kv/import",
-                              order.dump(), kPatience);
+  const auto imported =
+    Fetch("POST", "http://" + other.Address().ToString() + "/v1/kv/import", order.dump(), kTimeout);
   BOOST_TEST(imported.status == 200);
   BOOST_TEST(json::parse(imported.body).at("blocks") >= 3);
-  (void)Complete(other.Address(), Ask(LongPrompt(48), 1));
+  (void)Complete(other.Address(), CompletionBody(LongPrompt(48), 1));
   BOOST_TEST(other.Counters().prefillCached == 48);
   BOOST_TEST(fixture.Call("DELETE", "/v1/streams/engine-1-s0").status == 200);
   BOOST_TEST(running.Wait().events.back().at("finish_reason") == "cancelled");
   BOOST_TEST(fixture.Call("POST", "/v1/streams/none/export").status == 404);
 }
 
-BOOST_AUTO_TEST_CASE(TakesUpAFinishedStream)
+BOOST_AUTO_TEST_CASE(NewReaderContinuesAFinishedStream)
 {
   const Fixture fixture;
-  const auto first = fixture.Send(Ask("p", 12));
+  const auto first = fixture.Send(CompletionBody("p", 12));
   const auto stream = first.events.front().at("stream_id").get<std::string>();
   const auto again =
     fixture.Send({ { "stream_id", stream }, { "from_token", 2 }, { "attempt_id", "a-2" } });
@@ -213,32 +213,32 @@
                .status == 404);
 }
 
-BOOST_AUTO_TEST_CASE(CrossedAnswersNameAnotherAttempt)
+BOOST_AUTO_TEST_CASE(CrossedAnswersHaveAnotherAttemptId)
 {
   const Fixture fixture;
   for (const std::string mode : { "first", "last" }) {
     (void)fixture.Call("POST", "/faults", { { "fault", "crossed" }, { "mode", mode } });
-    const auto answer = fixture.Send(Ask("p", 5));
-    const auto& struck = mode == "first" ? answer.events.front() : answer.events.back();
-    BOOST_TEST(struck.at("attempt_id") != "a-1");
+    const auto answer = fixture.Send(CompletionBody("p", 5));
+    const auto& affected = mode == "first" ? answer.events.front() : answer.events.back();
+    BOOST_TEST(affected.at("attempt_id") != "a-1");
   }
-  // The count has run out
-  BOOST_TEST(fixture.Send(Ask("p", 5)).Text() == AnswerText(Asked("p"), 5));
+  // The fault's count is used up
+  BOOST_TEST(fixture.Send(CompletionBody("p", 5)).Text() == AnswerText(QuestionFor("p"), 5));
 }
 
 BOOST_AUTO_TEST_CASE(CutAndSkippedStreamsAreIncomplete)
 {
   const Fixture fixture;
   (void)fixture.Call("POST", "/faults", { { "fault", "skip_token" }, { "after", 3 } });
-  const auto skipped = fixture.Send(Ask("p", 8));
+  const auto skipped = fixture.Send(CompletionBody("p", 8));
   BOOST_TEST(skipped.events.at(4).at("index") == 4);
   (void)fixture.Call("POST", "/faults", { { "fault", "cut" }, { "after", 2 } });
-  BOOST_TEST(fixture.Send(Ask("p", 8)).status == 0);
+  BOOST_TEST(fixture.Send(CompletionBody("p", 8)).status == 0);
 }
 
-BOOST_AUTO_TEST_CASE(OldFencingNumberIsRefused)
+BOOST_AUTO_TEST_CASE(OrderWithOutdatedFencingNumberIsRefused)
 {
-  auto settings = QuickEngine();
+  auto settings = FastEngineSettings();
   settings.fenced = true;
   const Fixture fixture(settings);
   const auto order = [](const std::string& aId, int aFencing) {
@@ -253,20 +253,20 @@
   BOOST_TEST(json::parse(fixture.Call("GET", "/v1/load").body).at("role") == "urgent");
 }
 
-BOOST_AUTO_TEST_CASE(VanishedEngineCannotBeReached)
+BOOST_AUTO_TEST_CASE(TerminatedEngineIsUnreachable)
 {
   Fixture fixture;
-  fixture.engine.Vanish();
+  fixture.engine.Terminate();
   BOOST_TEST(fixture.Call("GET", "/v1/load").status == 0);
 }
 
-BOOST_AUTO_TEST_CASE(SilentConnectionsStaySilentAndNewOnesWork)
+BOOST_AUTO_TEST_CASE(SilentFaultAffectsOpenConnectionsAndNotNewOnes)
 {
   Fixture fixture;
-  RunningStream running(fixture, Ask("p", kLongAnswer));
+  RunningStream running(fixture, CompletionBody("p", kLongAnswer));
   (void)fixture.Call("POST", "/faults", { { "fault", "silent" } });
   BOOST_TEST(fixture.Call("DELETE", "/v1/streams/engine-1-s0").status == 200);
-  fixture.engine.Vanish();
+  fixture.engine.Terminate();
   BOOST_TEST(running.Wait().status == 0);
 }
 
--- a/UnitTests/StandIns/PlatformStandInTests.cpp
+++ b/UnitTests/StandIns/PlatformStandInTests.cpp
@@ -11,16 +11,16 @@
 
 namespace {
 
-constexpr std::chrono::seconds kPatience{ 20 };
+constexpr std::chrono::seconds kTimeout{ 20 };
 
 HttpAnswer
 Call(const ListenAddress& aServer, const std::string& aMethod, const std::string& aPath,
      const std::string& aBody = {})
 {
-  return Fetch(aMethod, "http://" + aServer.ToString() + aPath, aBody, kPatience);
+  return Fetch(aMethod, "http://" + aServer.ToString() + aPath, aBody, kTimeout);
 }
 
-/// A platform without lag.
+/// A platform without host list and start delays.
 struct Fixture
 {
   explicit Fixture(const PlatformSettings& aSettings = Quick())
@@ -70,7 +70,7 @@
 
 BOOST_AUTO_TEST_SUITE(PlatformStandInTests)
 
-BOOST_AUTO_TEST_CASE(LogGivesOffsetsAndWakesReaders)
+BOOST_AUTO_TEST_CASE(AppendAssignsOffsetAndCompletesLongPoll)
 {
   Fixture fixture;
   fixture.scheduler.After(std::chrono::milliseconds(20),
@@ -81,10 +81,10 @@
   BOOST_TEST(fixture.Send("POST", "/streams/config/m", "\xff").status == 400);
 }
 
-BOOST_AUTO_TEST_CASE(LogKeepsALimitedNumber)
+BOOST_AUTO_TEST_CASE(LogDropsOldestRecordsBeyondItsLimit)
 {
   auto settings = Fixture::Quick();
-  settings.log.recordsKept = 2;
+  settings.log.maxRecords = 2;
   const Fixture fixture(settings);
   for (const auto* text : { "a", "b", "c" }) {
     (void)fixture.Send("POST", "/streams/s", text);
@@ -94,7 +94,7 @@
   BOOST_TEST(page.at("records").at(0).at("offset") == 1);
 }
 
-BOOST_AUTO_TEST_CASE(LogRefusesMoreAppendsThanItsRate)
+BOOST_AUTO_TEST_CASE(LogRefusesAppendsAboveItsRate)
 {
   auto settings = Fixture::Quick();
   settings.log.appendsPerSecond = 0.001;
@@ -105,7 +105,7 @@
   BOOST_TEST(refused.retryAfter.count() > 0);
 }
 
-BOOST_AUTO_TEST_CASE(LostAnswerTookEffect)
+BOOST_AUTO_TEST_CASE(RequestWithLostAnswerIsExecuted)
 {
   const Fixture fixture;
   (void)fixture.Send("POST", "/faults", R"({"fault":"lost_answer","path":"/streams/"})");
@@ -113,7 +113,7 @@
   BOOST_TEST(fixture.Read("/streams/s?from=0").at("records").size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(OutageStrikesOnlyItsPath)
+BOOST_AUTO_TEST_CASE(OutageAffectsOnlyItsPath)
 {
   const Fixture fixture;
   (void)fixture.Send("POST", "/faults", R"({"fault":"outage","ms":60000,"path":"/streams/"})");
@@ -134,7 +134,7 @@
   BOOST_TEST(fixture.Read("/stats").at("hosts_started") == 1);
 }
 
-BOOST_AUTO_TEST_CASE(ReclaimGivesNoticeAndMarksHostsLeaving)
+BOOST_AUTO_TEST_CASE(ReclaimPublishesNoticeAndMarksHostsLeaving)
 {
   Fixture fixture;
   CloudHost host;
@@ -150,7 +150,7 @@
   BOOST_TEST(fixture.Read("/hosts").at(0).at("state") == "leaving");
 }
 
-BOOST_AUTO_TEST_CASE(ServiceCountsWhatItExecuted)
+BOOST_AUTO_TEST_CASE(ServiceCountsItsExecutions)
 {
   Scheduler scheduler;
   ServiceSettings settings;
