--- a/StandIns/Engine/EngineCore.h
+++ b/StandIns/Engine/EngineCore.h
@@ -23,8 +23,7 @@
   std::int64_t reattached = 0; ///< Streams continued by a new reader.
   std::int64_t finished = 0;   ///< Answers generated completely.
   std::int64_t cancelled = 0;  ///< Streams cancelled, orphans included.
-  std::int64_t preempted =
-    0; ///< Streams requeued for one of higher priority or for lack of KV memory.
+  std::int64_t preempted = 0;  ///< Streams requeued for one of higher priority or lack of memory.
   std::int64_t divergedResumes = 0; ///< Resumes whose tokens differ from the answer's.
   std::int64_t promptTokens = 0;    ///< Prompt and resume tokens received.
   std::int64_t prefillComputed = 0; ///< Of those, computed by this engine.
@@ -74,7 +73,7 @@
                                      const std::string& aAttemptId, const Reader& aReader);
 
   /// Cancels a stream.
-  /// @return the number of tokens generated, or nullopt if there is no such stream
+  /// @return the number of tokens of its answer so far, or nullopt if there is no such stream
   std::optional<std::int64_t> Cancel(const std::string& aStreamId);
 
   /// Complete cache blocks of a stream, or nullopt if there is no such stream.
--- a/StandIns/Engine/EngineStandIn.h
+++ b/StandIns/Engine/EngineStandIn.h
@@ -66,8 +66,7 @@
   std::mutex mutex;
   std::int64_t fencing = -1; ///< Highest fencing number received.
   std::string role;
-  std::map<std::string, std::int64_t>
-    orders; ///< Fencing numbers of the accepted orders, by order id.
+  std::map<std::string, std::int64_t> orders; ///< Fencing numbers of accepted orders, by id.
   std::map<std::string, ExportedKv> exported;
   std::int64_t ordersRefused = 0;
   std::int64_t nextKv = 0;
--- a/StandIns/Http/HttpServer.h
+++ b/StandIns/Http/HttpServer.h
@@ -40,8 +40,8 @@
   /// The address that the server listens on, with the actual port.
   [[nodiscard]] const ListenAddress& Address() const { return this->listen; }
 
-  /// Suspends all open connections except that of aExchange for good: no data is sent on them any more.
-  /// New connections are not affected.
+  /// Marks all open connections except that of aExchange as silent, permanently: their data is neither
+  /// processed nor sent any more. New connections are not affected.
   void SilenceOtherConnections(const HttpExchange& aExchange);
 
   /// Stops listening and closes every connection. Must not be called from the handler.
