--- a/Lagoonward/Settings/RelayDaemonSettings.h
+++ b/Lagoonward/Settings/RelayDaemonSettings.h
@@ -8,41 +8,41 @@
 
 namespace lagoonward {
 
-/// Everything that `lagoonward relay` is told, checked. RelaySettingsReader fills it.
+/// The validated settings of `lagoonward relay`. Filled by RelaySettingsReader.
 struct RelayDaemonSettings
 {
-  std::string name;     ///< Of this host, for those who get orders from it.
-  SocketAddress listen; ///< For callers.
-  SocketAddress ready;  ///< Tells the balancer whether to send callers.
-  SocketAddress peer;   ///< UDP and TCP between daemons.
+  std::string name;     ///< Name of this host, sent with its orders.
+  SocketAddress listen; ///< Listen address for callers.
+  SocketAddress ready;  ///< Readiness endpoint for the load balancer.
+  SocketAddress peer;   ///< Address for UDP and TCP traffic between daemons.
   SocketAddress metrics;
   std::string region;
   std::string failureDomain;
-  std::vector<std::string> failureDomains; ///< All of the deployment.
-  std::vector<SocketAddress> seeds; ///< Daemons that may be there already; some may be stale.
+  std::vector<std::string> failureDomains; ///< All failure domains of the deployment.
+  std::vector<SocketAddress> seeds;        ///< Daemons that may already run; entries may be stale.
 
   std::string storeUrl;
   std::string cloudUrl;
-  std::string cluster = "lagoonward"; ///< Daemons of other clusters are ignored.
-  std::string peerKeys;               ///< `ID:HEX[,ID:HEX…]`; the first signs, all are accepted.
+  std::string cluster = "lagoonward"; ///< Messages of daemons in other clusters are ignored.
+  std::string peerKeys; ///< `ID:HEX[,ID:HEX…]`; the first key signs, all are accepted.
   LogLevel logLevel = LogLevel::Info;
 
-  Milliseconds grace{ 8000 };         ///< From the signal that ends the daemon to its end by force.
-  Milliseconds leavingNotice{ 2000 }; ///< New work may reach a leaving endpoint for so long.
-  Milliseconds configurationNotice{ 2000 }; ///< A configuration must be in force after so long.
+  Milliseconds grace{ 8000 };         ///< From the termination signal to the forced exit.
+  Milliseconds leavingNotice{ 2000 }; ///< How long new work may still reach a leaving endpoint.
+  Milliseconds configurationNotice{ 2000 }; ///< Time within which a configuration must be in force.
   Milliseconds leaseQuiet{
     3000
-  }; ///< Time in which orders may not go from one holder to another and back.
+  }; ///< Orders do not move from one lease holder to another and back within this time.
 
-  Seconds usageWindow{ 5 };    ///< Length of one window of reported usage.
-  Seconds usageLateness{ 10 }; ///< A window's usage is due so long after its end.
+  Seconds usageWindow{ 5 };    ///< Length of a usage reporting window.
+  Seconds usageLateness{ 10 }; ///< Deadline for reporting a window's usage, after its end.
 
-  double limitTolerance = 0; ///< Part by which clients' limits may be exceeded in all.
-  double limitSlack = 0;     ///< Tokens by which they may be exceeded beside that.
+  double limitTolerance = 0; ///< Ratio by which clients' limits may be exceeded, over all daemons.
+  double limitSlack = 0;     ///< Additional tokens by which they may be exceeded.
 
-  double retryRatio = 0.2;   ///< Repeats allowed in any window, as a part of the requests...
-  double retrySlack = 54;    ///< ...and so many more, over the whole deployment.
-  Seconds retryWindow{ 10 }; ///< Length of that window.
+  double retryRatio = 0.2;   ///< Retries allowed in a window, as a ratio of the requests...
+  double retrySlack = 54;    ///< ...and additional retries, over the whole deployment.
+  Seconds retryWindow{ 10 }; ///< Length of the retry window.
 };
 
 } // namespace lagoonward
--- a/Lagoonward/Settings/RelaySettingsReader.cpp
+++ b/Lagoonward/Settings/RelaySettingsReader.cpp
@@ -20,12 +20,12 @@
 constexpr std::array kRequired{ "name",   "listen",         "ready",           "peer",
                                 "region", "failure-domain", "failure-domains", "store-url" };
 
-/// A daemon whose reader has died finds a leaving endpoint after so long at the soonest: two looks between daemons, and a
-/// read.
-constexpr Milliseconds kLeastLeavingNotice{ 700 };
+/// Shortest time within which a daemon can detect a leaving endpoint when the daemon that reads on its behalf has failed:
+/// two checks between daemons and one read.
+constexpr Milliseconds kMinimumLeavingNotice{ 700 };
 
-/// The values as text, as they were given.
-struct RelayTexts
+/// The unparsed values of the settings.
+struct RawRelaySettings
 {
   std::string listen;
   std::string ready;
@@ -44,39 +44,38 @@
 };
 
 po::options_description
-Describe(RelayDaemonSettings& aSettings, RelayTexts& aTexts, std::string& aFile)
+Describe(RelayDaemonSettings& aSettings, RawRelaySettings& aRaw, std::string& aFile)
 {
   po::options_description options("settings");
   auto add = options.add_options();
   add("settings", po::value(&aFile), "FILE of lines `name = value`");
   add("name", po::value(&aSettings.name), "this host's name in its orders");
-  add("listen", po::value(&aTexts.listen), "IP:PORT for callers");
-  add("ready", po::value(&aTexts.ready), "IP:PORT that tells a balancer if it is ready");
-  add("peer", po::value(&aTexts.peer), "IP:PORT, UDP and TCP, between daemons");
-  add("metrics", po::value(&aTexts.metrics)->default_value(""), "IP:PORT for metrics; empty: none");
+  add("listen", po::value(&aRaw.listen), "IP:PORT for callers");
+  add("ready", po::value(&aRaw.ready), "IP:PORT that tells a balancer if it is ready");
+  add("peer", po::value(&aRaw.peer), "IP:PORT, UDP and TCP, between daemons");
+  add("metrics", po::value(&aRaw.metrics)->default_value(""), "IP:PORT for metrics; empty: none");
   add("region", po::value(&aSettings.region), "region of this host");
   add("failure-domain", po::value(&aSettings.failureDomain), "of this host");
-  add("failure-domains", po::value(&aTexts.failureDomains), "all, joined by commas");
-  add("seeds", po::value(&aTexts.seeds)->default_value(""), "IP:PORT of peers, joined by commas");
+  add("failure-domains", po::value(&aRaw.failureDomains), "all, joined by commas");
+  add("seeds", po::value(&aRaw.seeds)->default_value(""), "IP:PORT of peers, joined by commas");
   add("store-url", po::value(&aSettings.storeUrl), "URL of the platform's store");
   add("cloud-url", po::value(&aSettings.cloudUrl)->default_value(""),
       "URL for orders; empty: none");
   add("cluster", po::value(&aSettings.cluster)->default_value("lagoonward"), "name of the cluster");
   add("peer-keys", po::value(&aSettings.peerKeys)->default_value(""), "ID:HEX[,ID:HEX...]");
-  add("log-level", po::value(&aTexts.logLevel)->default_value("info"),
-      "debug, info, warning, error");
-  add("grace-ms", po::value(&aTexts.graceMilliseconds)->default_value(8000),
+  add("log-level", po::value(&aRaw.logLevel)->default_value("info"), "debug, info, warning, error");
+  add("grace-ms", po::value(&aRaw.graceMilliseconds)->default_value(8000),
       "from SIGTERM to the end by force");
-  add("leaving-notice-ms", po::value(&aTexts.leavingNoticeMilliseconds)->default_value(2000),
+  add("leaving-notice-ms", po::value(&aRaw.leavingNoticeMilliseconds)->default_value(2000),
       "new work may reach a leaving endpoint for so long");
   add("configuration-notice-ms",
-      po::value(&aTexts.configurationNoticeMilliseconds)->default_value(2000),
+      po::value(&aRaw.configurationNoticeMilliseconds)->default_value(2000),
       "a configuration must be in force at all daemons after so long");
-  add("lease-quiet-ms", po::value(&aTexts.leaseQuietMilliseconds)->default_value(3000),
+  add("lease-quiet-ms", po::value(&aRaw.leaseQuietMilliseconds)->default_value(3000),
       "orders do not go from one daemon to another and back within this");
-  add("usage-window-s", po::value(&aTexts.usageWindowSeconds)->default_value(5),
+  add("usage-window-s", po::value(&aRaw.usageWindowSeconds)->default_value(5),
       "length of a window of reported usage");
-  add("usage-lateness-s", po::value(&aTexts.usageLatenessSeconds)->default_value(10),
+  add("usage-lateness-s", po::value(&aRaw.usageLatenessSeconds)->default_value(10),
       "usage is due so long after its window");
   add("limit-tolerance", po::value(&aSettings.limitTolerance)->default_value(0),
       "part by which clients' limits may be exceeded, all daemons together");
@@ -86,14 +85,14 @@
       "repeats allowed for each request");
   add("retry-slack", po::value(&aSettings.retrySlack)->default_value(54),
       "repeats allowed beyond that in a window, all daemons together");
-  add("retry-window-s", po::value(&aTexts.retryWindowSeconds)->default_value(10),
+  add("retry-window-s", po::value(&aRaw.retryWindowSeconds)->default_value(10),
       "length of that window");
   return options;
 }
 
 void
-TakeAddress(const char* aName, const std::string& aText, SocketAddress& aAddress,
-            std::vector<std::string>& aFaults)
+ParseAddress(const char* aName, const std::string& aText, SocketAddress& aAddress,
+             std::vector<std::string>& aFaults)
 {
   if (aText.empty()) {
     return;
@@ -105,46 +104,46 @@
 
 template<typename Duration>
 void
-TakePositive(const char* aName, int aValue, Duration& aDuration, std::vector<std::string>& aFaults)
+ParsePositive(const char* aName, int aValue, Duration& aDuration, std::vector<std::string>& aFaults)
 {
   if (aValue <= 0) {
-    aFaults.push_back(fmt::format("{}: {} is not above zero", aName, aValue));
+    aFaults.push_back(fmt::format("{}: must be greater than zero, got {}", aName, aValue));
   }
   aDuration = Duration(aValue);
 }
 
 void
-TakeTexts(const RelayTexts& aTexts, RelaySettingsOutcome& aOutcome)
+ParseRawSettings(const RawRelaySettings& aRaw, RelaySettingsOutcome& aOutcome)
 {
   RelayDaemonSettings& settings = aOutcome.settings;
   auto& faults = aOutcome.faults;
-  TakeAddress("listen", aTexts.listen, settings.listen, faults);
-  TakeAddress("ready", aTexts.ready, settings.ready, faults);
-  TakeAddress("peer", aTexts.peer, settings.peer, faults);
-  TakeAddress("metrics", aTexts.metrics, settings.metrics, faults);
-  for (const std::string& seed : SplitList(aTexts.seeds)) {
+  ParseAddress("listen", aRaw.listen, settings.listen, faults);
+  ParseAddress("ready", aRaw.ready, settings.ready, faults);
+  ParseAddress("peer", aRaw.peer, settings.peer, faults);
+  ParseAddress("metrics", aRaw.metrics, settings.metrics, faults);
+  for (const std::string& seed : SplitList(aRaw.seeds)) {
     SocketAddress address;
-    TakeAddress("seeds", seed, address, faults);
+    ParseAddress("seeds", seed, address, faults);
     settings.seeds.push_back(std::move(address));
   }
-  settings.failureDomains = SplitList(aTexts.failureDomains);
-  TakePositive("grace-ms", aTexts.graceMilliseconds, settings.grace, faults);
-  TakePositive("leaving-notice-ms", aTexts.leavingNoticeMilliseconds, settings.leavingNotice,
-               faults);
-  if (settings.leavingNotice > Milliseconds(0) && settings.leavingNotice < kLeastLeavingNotice) {
+  settings.failureDomains = SplitList(aRaw.failureDomains);
+  ParsePositive("grace-ms", aRaw.graceMilliseconds, settings.grace, faults);
+  ParsePositive("leaving-notice-ms", aRaw.leavingNoticeMilliseconds, settings.leavingNotice,
+                faults);
+  if (settings.leavingNotice > Milliseconds(0) && settings.leavingNotice < kMinimumLeavingNotice) {
     faults.push_back(
-      fmt::format("leaving-notice-ms: {} is below {}, the least in which all daemons "
-                  "can know of it",
-                  settings.leavingNotice.count(), kLeastLeavingNotice.count()));
+      fmt::format("leaving-notice-ms: {} is below the minimum of {}, within which all "
+                  "daemons can learn that an endpoint leaves",
+                  settings.leavingNotice.count(), kMinimumLeavingNotice.count()));
   }
-  TakePositive("configuration-notice-ms", aTexts.configurationNoticeMilliseconds,
-               settings.configurationNotice, faults);
-  TakePositive("lease-quiet-ms", aTexts.leaseQuietMilliseconds, settings.leaseQuiet, faults);
-  TakePositive("usage-window-s", aTexts.usageWindowSeconds, settings.usageWindow, faults);
-  TakePositive("usage-lateness-s", aTexts.usageLatenessSeconds, settings.usageLateness, faults);
-  TakePositive("retry-window-s", aTexts.retryWindowSeconds, settings.retryWindow, faults);
-  if (const Fault fault = ReadLogLevel(aTexts.logLevel, settings.logLevel)) {
-    faults.push_back(fmt::format("log-level: \"{}\" {}", aTexts.logLevel, *fault));
+  ParsePositive("configuration-notice-ms", aRaw.configurationNoticeMilliseconds,
+                settings.configurationNotice, faults);
+  ParsePositive("lease-quiet-ms", aRaw.leaseQuietMilliseconds, settings.leaseQuiet, faults);
+  ParsePositive("usage-window-s", aRaw.usageWindowSeconds, settings.usageWindow, faults);
+  ParsePositive("usage-lateness-s", aRaw.usageLatenessSeconds, settings.usageLateness, faults);
+  ParsePositive("retry-window-s", aRaw.retryWindowSeconds, settings.retryWindow, faults);
+  if (const Fault fault = ReadLogLevel(aRaw.logLevel, settings.logLevel)) {
+    faults.push_back(fmt::format("log-level: \"{}\" {}", aRaw.logLevel, *fault));
   }
   if (const Fault fault = ReadUrl(settings.storeUrl, settings.storeUrl)) {
     faults.push_back(fmt::format("store-url: \"{}\" {}", settings.storeUrl, *fault));
@@ -158,11 +157,11 @@
                           std::span<const std::string> aEnvironment)
 {
   RelaySettingsOutcome outcome;
-  RelayTexts texts;
-  const po::options_description options = Describe(outcome.settings, texts, outcome.file);
+  RawRelaySettings raw;
+  const po::options_description options = Describe(outcome.settings, raw, outcome.file);
   po::variables_map values;
   try {
-    // The first source that names a setting wins
+    // The first source that contains a setting takes precedence
     po::options_description all;
     all.add(options).add_options()("help", "");
     po::store(po::command_line_parser({ aArguments.begin(), aArguments.end() }).options(all).run(),
@@ -186,7 +185,7 @@
       const auto path = values["settings"].as<std::string>();
       std::ifstream file(path);
       if (!file) {
-        outcome.faults.push_back(fmt::format("settings: cannot read {}", path));
+        outcome.faults.push_back(fmt::format("settings: cannot open file {}", path));
         return outcome;
       }
       po::store(po::parse_config_file(file, options), values);
@@ -201,7 +200,7 @@
     outcome.faults.emplace_back(fault.what());
     return outcome;
   }
-  TakeTexts(texts, outcome);
+  ParseRawSettings(raw, outcome);
   return outcome;
 }
 
@@ -209,10 +208,10 @@
 RelaySettingsReader::Help()
 {
   RelayDaemonSettings settings;
-  RelayTexts texts;
+  RawRelaySettings raw;
   std::string file;
   std::ostringstream text;
-  text << Describe(settings, texts, file);
+  text << Describe(settings, raw, file);
   return std::move(text).str();
 }
 
--- a/Lagoonward/Settings/SettingTexts.h
+++ b/Lagoonward/Settings/SettingTexts.h
@@ -8,22 +8,22 @@
 
 namespace lagoonward {
 
-/// What is wrong with a setting's text, or nothing.
+/// Describes why a setting's text is invalid; empty if it is valid.
 using Fault = std::optional<std::string>;
 
-/// Reads `IP:PORT`.
+/// Parses `IP:PORT`.
 [[nodiscard]] Fault
 ReadAddress(const std::string& aText, SocketAddress& aTarget);
 
-/// Reads an http:// or https:// URL, without slashes at its end.
+/// Parses an http:// or https:// URL and removes trailing slashes.
 [[nodiscard]] Fault
 ReadUrl(const std::string& aText, std::string& aTarget);
 
-/// Reads `debug`, `info`, `warning` or `error`.
+/// Parses `debug`, `info`, `warning` or `error`.
 [[nodiscard]] Fault
 ReadLogLevel(const std::string& aText, LogLevel& aTarget);
 
-/// The items of a list joined by commas, without blanks and empty ones.
+/// Splits a comma-separated list. Trims blanks and drops empty items.
 [[nodiscard]] std::vector<std::string>
 SplitList(const std::string& aText);
 
--- a/Lagoonward/Settings/SettingsReader.cpp
+++ b/Lagoonward/Settings/SettingsReader.cpp
@@ -25,32 +25,32 @@
       return std::isalnum(aByte) != 0 || aByte == '-' || aByte == '_' || aByte == '.';
     });
   if (!valid) {
-    return "must be a name of letters, digits, '-', '_' and '.'";
+    return "must be a non-empty name of letters, digits, '-', '_' and '.'";
   }
   aTarget = aText;
   return {};
 }
 
-/// A whole number within bounds.
+/// Parses an integer within inclusive bounds.
 template<typename Number>
 Fault
-ReadNumber(const std::string& aText, std::int64_t aLeast, std::int64_t aMost, Number& aTarget)
+ReadNumber(const std::string& aText, std::int64_t aMinimum, std::int64_t aMaximum, Number& aTarget)
 {
   std::int64_t value = 0;
   const char* const end = aText.data() + aText.size();
   const auto [stop, failure] = std::from_chars(aText.data(), end, value);
-  if (failure != std::errc() || stop != end || value < aLeast || value > aMost) {
-    return fmt::format("must be a whole number from {} to {}", aLeast, aMost);
+  if (failure != std::errc() || stop != end || value < aMinimum || value > aMaximum) {
+    return fmt::format("must be an integer from {} to {}", aMinimum, aMaximum);
   }
   aTarget = static_cast<Number>(value);
   return {};
 }
 
 Fault
-ReadMilliseconds(const std::string& aText, std::int64_t aMost, Milliseconds& aTarget)
+ReadMilliseconds(const std::string& aText, std::int64_t aMaximum, Milliseconds& aTarget)
 {
   std::int64_t value = 0;
-  Fault fault = ReadNumber(aText, 0, aMost, value);
+  Fault fault = ReadNumber(aText, 0, aMaximum, value);
   aTarget = Milliseconds(value);
   return fault;
 }
@@ -80,85 +80,91 @@
   constexpr std::int64_t kGibibyte = 1LL << 30;
   return {
     { "listen", "IP:PORT", "", true, "Address for callers.",
-      [](S& aInto, T aText) { return ReadAddress(aText, aInto.listen); } },
+      [](S& aSettings, T aText) { return ReadAddress(aText, aSettings.listen); } },
     { "admin", "IP:PORT", "", true, "Address for operators: health, metrics, status.",
-      [](S& aInto, T aText) { return ReadAddress(aText, aInto.admin); } },
+      [](S& aSettings, T aText) { return ReadAddress(aText, aSettings.admin); } },
     { "peer", "IP:PORT", "", true, "Address for other daemons, UDP and TCP.",
-      [](S& aInto, T aText) { return ReadAddress(aText, aInto.peer); } },
+      [](S& aSettings, T aText) { return ReadAddress(aText, aSettings.peer); } },
     { "region", "NAME", "", true, "Region that this host is in.",
-      [](S& aInto, T aText) { return ReadName(aText, aInto.region); } },
+      [](S& aSettings, T aText) { return ReadName(aText, aSettings.region); } },
     { "failure-domain", "NAME", "", true, "Failure domain that this host is in.",
-      [](S& aInto, T aText) { return ReadName(aText, aInto.failureDomain); } },
+      [](S& aSettings, T aText) { return ReadName(aText, aSettings.failureDomain); } },
     { "log-url", "URL", "", true, "The platform's log service.",
-      [](S& aInto, T aText) { return ReadUrl(aText, aInto.logUrl); } },
+      [](S& aSettings, T aText) { return ReadUrl(aText, aSettings.logUrl); } },
     { "cloud-url", "URL", "", true, "The cloud's interface for hosts, prices and notices.",
-      [](S& aInto, T aText) { return ReadUrl(aText, aInto.cloudUrl); } },
+      [](S& aSettings, T aText) { return ReadUrl(aText, aSettings.cloudUrl); } },
     { "host-list-url", "URL", "", true, "The platform's host list.",
-      [](S& aInto, T aText) { return ReadUrl(aText, aInto.hostListUrl); } },
+      [](S& aSettings, T aText) { return ReadUrl(aText, aSettings.hostListUrl); } },
     { "weight-store-url", "URL", "", true, "The platform's weight store.",
-      [](S& aInto, T aText) { return ReadUrl(aText, aInto.weightStoreUrl); } },
+      [](S& aSettings, T aText) { return ReadUrl(aText, aSettings.weightStoreUrl); } },
     { "host-id", "NAME", "", false, "This host's id in the host list; by default the peer address.",
-      [](S& aInto, T aText) { return ReadName(aText, aInto.hostId); } },
+      [](S& aSettings, T aText) { return ReadName(aText, aSettings.hostId); } },
     { "market", "NAME[,NAME...]", "", false,
       "Markets to follow from the start; others are followed when a caller names them.",
-      [](S& aInto, T aText) { return ReadNames(aText, aInto.markets); } },
+      [](S& aSettings, T aText) { return ReadNames(aText, aSettings.markets); } },
     { "cluster", "NAME", "lagoonward", false, "Daemons of another cluster are ignored.",
-      [](S& aInto, T aText) { return ReadName(aText, aInto.cluster); } },
+      [](S& aSettings, T aText) { return ReadName(aText, aSettings.cluster); } },
     { "peer-keys", "ID:HEX[,ID:HEX...]", "", false,
       "Shared keys between daemons; the first signs, all are accepted.",
-      [](S& aInto, T aText) {
-        aInto.peerKeys = aText;
+      [](S& aSettings, T aText) {
+        aSettings.peerKeys = aText;
         return Fault();
       } },
     { "log-level", "LEVEL", "info", false, "debug, info, warning or error.",
-      [](S& aInto, T aText) { return ReadLogLevel(aText, aInto.logLevel); } },
+      [](S& aSettings, T aText) { return ReadLogLevel(aText, aSettings.logLevel); } },
     { "caller-threads", "N", "2", false, "Threads that speak with callers.",
-      [](S& aInto, T aText) { return ReadNumber(aText, 1, 64, aInto.callerThreads); } },
+      [](S& aSettings, T aText) { return ReadNumber(aText, 1, 64, aSettings.callerThreads); } },
     { "traffic-threads", "N", "2", false, "Threads that speak with endpoints.",
-      [](S& aInto, T aText) { return ReadNumber(aText, 1, 64, aInto.runs.threads); } },
+      [](S& aSettings, T aText) { return ReadNumber(aText, 1, 64, aSettings.runs.threads); } },
     { "max-connections", "N", "4096", false, "Callers' connections at once.",
-      [](S& aInto, T aText) { return ReadNumber(aText, 1, 1'000'000, aInto.maximumConnections); } },
+      [](S& aSettings, T aText) {
+        return ReadNumber(aText, 1, 1'000'000, aSettings.maximumConnections);
+      } },
     { "max-body-bytes", "BYTES", "4194304", false, "Largest body of a request.",
-      [](S& aInto, T aText) { return ReadNumber(aText, 1, kGibibyte, aInto.maximumBodyBytes); } },
+      [](S& aSettings, T aText) {
+        return ReadNumber(aText, 1, kGibibyte, aSettings.maximumBodyBytes);
+      } },
     { "max-tokens", "N", "32768", false, "Largest answer that a caller may ask for, in tokens.",
-      [](S& aInto, T aText) {
-        return ReadNumber(aText, 1, 10'000'000, aInto.calls.maximumMaxTokens);
+      [](S& aSettings, T aText) {
+        return ReadNumber(aText, 1, 10'000'000, aSettings.calls.maximumMaxTokens);
       } },
     { "connect-timeout-ms", "MS", "500", false, "Longest wait for a connection to an endpoint.",
-      [](S& aInto, T aText) {
-        return ReadMilliseconds(aText, kHourMs, aInto.runs.client.connectTimeout);
+      [](S& aSettings, T aText) {
+        return ReadMilliseconds(aText, kHourMs, aSettings.runs.client.connectTimeout);
       } },
     { "silence-ms", "MS", "1000", false,
       "Shortest silence after which a stream is resumed on a new connection.",
-      [](S& aInto, T aText) {
-        return ReadMilliseconds(aText, kHourMs, aInto.runs.attempts.minimumSilence);
+      [](S& aSettings, T aText) {
+        return ReadMilliseconds(aText, kHourMs, aSettings.runs.attempts.minimumSilence);
       } },
     { "reconnect-ms", "MS", "1000", false,
       "How long a new connection may stay silent before the endpoint is blamed.",
-      [](S& aInto, T aText) {
-        return ReadMilliseconds(aText, kHourMs, aInto.runs.attempts.reconnectPatience);
+      [](S& aSettings, T aText) {
+        return ReadMilliseconds(aText, kHourMs, aSettings.runs.attempts.reconnectPatience);
       } },
     { "answer-lifetime-ms", "MS", "600000", false,
       "How long an answer can be asked for again under its idempotency key.",
-      [](S& aInto, T aText) {
-        return ReadMilliseconds(aText, kHourMs * 24, aInto.runs.attempts.answerLifetime);
+      [](S& aSettings, T aText) {
+        return ReadMilliseconds(aText, kHourMs * 24, aSettings.runs.attempts.answerLifetime);
       } },
     { "answer-bytes", "BYTES", "16777216", false, "Memory for such answers.",
-      [](S& aInto, T aText) {
-        return ReadNumber(aText, 0, kGibibyte, aInto.runs.attempts.answerBytes);
+      [](S& aSettings, T aText) {
+        return ReadNumber(aText, 0, kGibibyte, aSettings.runs.attempts.answerBytes);
       } },
     { "abandon-grace-ms", "MS", "10000", false,
       "How long a request with an idempotency key goes on when its caller has gone.",
-      [](S& aInto, T aText) {
-        return ReadMilliseconds(aText, kHourMs, aInto.runs.attempts.abandonGrace);
+      [](S& aSettings, T aText) {
+        return ReadMilliseconds(aText, kHourMs, aSettings.runs.attempts.abandonGrace);
       } },
     { "drain-notice-ms", "MS", "1000", false,
       "Time between turning unready and ceasing to listen when the daemon drains.",
-      [](S& aInto, T aText) { return ReadMilliseconds(aText, kHourMs, aInto.drainNotice); } },
+      [](S& aSettings, T aText) {
+        return ReadMilliseconds(aText, kHourMs, aSettings.drainNotice);
+      } },
   };
 }
 
-/// The flags as given, by name; a fault for each that is unknown, has no value or stands twice.
+/// Returns the given flags by name. Adds a fault for each flag that is unknown, has no value or is repeated.
 std::map<std::string, std::string>
 CollectFlags(std::span<const std::string> aArguments, SettingsOutcome& aOutcome)
 {
@@ -176,7 +182,7 @@
     const po::parsed_options parsed = parser.run();
     for (const std::string& unknown :
          po::collect_unrecognized(parsed.options, po::include_positional)) {
-      aOutcome.faults.push_back(fmt::format("{}: no such setting", unknown));
+      aOutcome.faults.push_back(fmt::format("{}: unknown setting", unknown));
     }
     po::store(parsed, found);
   } catch (const po::error& error) {
@@ -197,7 +203,7 @@
   return values;
 }
 
-/// Adds the variables for which no flag was given; a fault for each unknown one.
+/// Adds the variables for which no flag was given. Adds a fault for each unknown variable.
 void
 AddVariables(std::span<const std::string> aEnvironment, std::map<std::string, std::string>& aValues,
              SettingsOutcome& aOutcome)
@@ -213,28 +219,28 @@
       return SettingsReader::VariableName(aRule.name) == variable;
     });
     if (rule == rules.end()) {
-      aOutcome.faults.push_back(fmt::format("{}: no such setting", variable));
+      aOutcome.faults.push_back(fmt::format("{}: unknown setting", variable));
       continue;
     }
     aValues.emplace(rule->name, entry.substr(equals + 1));
   }
 }
 
-/// Faults that show only when settings are looked at together.
+/// Adds the faults that involve more than one setting.
 void
-CheckTogether(const DaemonSettings& aSettings, SettingsOutcome& aOutcome)
+CheckConflicts(const DaemonSettings& aSettings, SettingsOutcome& aOutcome)
 {
-  const auto clash = [&](const SocketAddress& aFirst, const SocketAddress& aSecond) {
+  const auto isSameAddress = [&](const SocketAddress& aFirst, const SocketAddress& aSecond) {
     return aFirst.port != 0 && aFirst.port == aSecond.port && aFirst.address == aSecond.address;
   };
-  if (clash(aSettings.listen, aSettings.admin)) {
-    aOutcome.faults.emplace_back("--listen and --admin: the same address");
+  if (isSameAddress(aSettings.listen, aSettings.admin)) {
+    aOutcome.faults.emplace_back("--listen and --admin: must not be the same address");
   }
-  if (clash(aSettings.listen, aSettings.peer)) {
-    aOutcome.faults.emplace_back("--listen and --peer: the same address");
+  if (isSameAddress(aSettings.listen, aSettings.peer)) {
+    aOutcome.faults.emplace_back("--listen and --peer: must not be the same address");
   }
-  if (clash(aSettings.admin, aSettings.peer)) {
-    aOutcome.faults.emplace_back("--admin and --peer: the same address");
+  if (isSameAddress(aSettings.admin, aSettings.peer)) {
+    aOutcome.faults.emplace_back("--admin and --peer: must not be the same address");
   }
 }
 
@@ -255,8 +261,8 @@
     const std::string& text = given == values.end() ? rule.defaultText : given->second;
     if (given == values.end() && text.empty()) {
       if (rule.required) {
-        outcome.faults.push_back(
-          fmt::format("--{}: missing; give it or set {}", rule.name, VariableName(rule.name)));
+        outcome.faults.push_back(fmt::format("--{}: missing; pass the flag or set {}", rule.name,
+                                             VariableName(rule.name)));
       }
       continue;
     }
@@ -264,7 +270,7 @@
       outcome.faults.push_back(fmt::format("--{}: \"{}\" {}", rule.name, text, *fault));
     }
   }
-  CheckTogether(outcome.settings, outcome);
+  CheckConflicts(outcome.settings, outcome);
   if (outcome.settings.hostId.empty()) {
     outcome.settings.hostId =
       fmt::format("daemon-{}-{}", outcome.settings.peer.address, outcome.settings.peer.port);
--- a/Lagoonward/Settings/SettingsReader.h
+++ b/Lagoonward/Settings/SettingsReader.h
@@ -11,44 +11,44 @@
 
 namespace lagoonward {
 
-/// One setting: a flag `--foo-bar` and its variable `LAGOONWARD_FOO_BAR`.
+/// Describes one setting: a flag `--foo-bar` with the variable `LAGOONWARD_FOO_BAR`.
 struct SettingRule
 {
-  std::string name;        ///< Without the dashes.
+  std::string name;        ///< Flag name without the leading dashes.
   std::string placeholder; ///< For the help text, for example "IP:PORT".
-  std::string defaultText; ///< Taken when nothing is given; empty for none.
+  std::string defaultText; ///< Used when the setting is not given; empty for no default.
   bool required = false;
   std::string help;
-  /// Puts a value into the settings.
-  /// @return what is wrong with it, or nothing
+  /// Parses a value and stores it in the settings.
+  /// @return why the value is invalid; empty if it is valid
   std::function<std::optional<std::string>(DaemonSettings& aSettings, const std::string& aText)>
     apply;
 };
 
-/// What came of reading: settings, or every fault at once.
+/// Result of reading the settings: the settings, or all faults found.
 struct SettingsOutcome
 {
   DaemonSettings settings;
-  std::vector<std::string> faults; ///< One line each; empty when the settings can be used.
+  std::vector<std::string> faults; ///< One line per fault; empty when the settings are valid.
   bool helpAsked = false;
 };
 
-/// Reads the daemon's settings from flags and environment variables; a flag wins.
+/// Reads the settings of `lagoonward serve` from flags and environment variables. Flags override variables.
 class SettingsReader
 {
 public:
-  /// @param aArguments    the command's arguments, without program and command name
+  /// @param aArguments    the arguments after the program and command name
   /// @param aEnvironment  `NAME=VALUE` strings
   [[nodiscard]] static SettingsOutcome Read(std::span<const std::string> aArguments,
                                             std::span<const std::string> aEnvironment);
 
-  /// Text for `--help`: every setting with its default.
+  /// Returns the text for `--help`, with every setting and its default.
   [[nodiscard]] static std::string Help();
 
-  /// All settings, in the order of the help text.
+  /// Returns all settings in the order of the help text.
   [[nodiscard]] static std::span<const SettingRule> Rules();
 
-  /// `LAGOONWARD_FOO_BAR` for `foo-bar`.
+  /// Returns `LAGOONWARD_FOO_BAR` for `foo-bar`.
   [[nodiscard]] static std::string VariableName(std::string_view aSetting);
 };
 
--- a/UnitTests/Settings/RelaySettingsReaderTests.cpp
+++ b/UnitTests/Settings/RelaySettingsReaderTests.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// A settings file that goes away with the test.
+/// A settings file that is deleted by the destructor.
 class SettingsFile
 {
 public:
@@ -27,17 +27,17 @@
   const std::string path;
 };
 
-constexpr const char* kWhole = "# a comment\n"
-                               "name = host-1\n"
-                               "listen = 10.0.0.1:80\n"
-                               "ready = 10.0.0.1:81\n"
-                               "peer = 10.0.0.1:82\n"
-                               "region = r\n"
-                               "failure-domain = a\n"
-                               "failure-domains = a,b\n"
-                               "seeds = 10.0.0.2:82, 10.0.0.3:82\n"
-                               "store-url = http://10.0.0.9:90/\n"
-                               "retry-ratio = 0.25\n";
+constexpr const char* kCompleteSettings = "# a comment\n"
+                                          "name = host-1\n"
+                                          "listen = 10.0.0.1:80\n"
+                                          "ready = 10.0.0.1:81\n"
+                                          "peer = 10.0.0.1:82\n"
+                                          "region = r\n"
+                                          "failure-domain = a\n"
+                                          "failure-domains = a,b\n"
+                                          "seeds = 10.0.0.2:82, 10.0.0.3:82\n"
+                                          "store-url = http://10.0.0.9:90/\n"
+                                          "retry-ratio = 0.25\n";
 
 RelaySettingsOutcome
 Read(std::vector<std::string> aArguments, std::vector<std::string> aEnvironment = {})
@@ -49,9 +49,9 @@
 
 BOOST_AUTO_TEST_SUITE(RelaySettingsReaderTests)
 
-BOOST_AUTO_TEST_CASE(ReadsTheFileThatAFlagOrAVariableNames)
+BOOST_AUTO_TEST_CASE(ReadsTheFileGivenByFlagOrVariable)
 {
-  const SettingsFile file(kWhole);
+  const SettingsFile file(kCompleteSettings);
   for (const auto& outcome :
        { Read({ "--settings", file.path }),
          Read({}, { SettingsReader::VariableName("settings") + "=" + file.path }) }) {
@@ -67,9 +67,9 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(AFlagWinsOverAVariableAndThatOverTheFile)
+BOOST_AUTO_TEST_CASE(FlagsOverrideVariablesAndVariablesOverrideTheFile)
 {
-  const SettingsFile file(kWhole);
+  const SettingsFile file(kCompleteSettings);
   const auto outcome =
     Read({ "--settings", file.path, "--name", "flag" },
          { "LAGOONWARD_NAME=variable", "LAGOONWARD_REGION=variable", "OTHER=1" });
@@ -78,17 +78,17 @@
   BOOST_TEST(outcome.settings.region == "variable");
 }
 
-BOOST_AUTO_TEST_CASE(NamesAllFaultsAtOnce)
+BOOST_AUTO_TEST_CASE(ReportsAllFaultsTogether)
 {
   const auto outcome = Read(
     { "--listen", "nonsense", "--store-url", "ftp://x", "--grace-ms", "0", "--log-level", "loud" });
-  // Five settings are missing beside the four that are wrong
+  // Six required settings are missing in addition to the four invalid ones
   BOOST_TEST(outcome.faults.size() == 10U);
 }
 
-BOOST_AUTO_TEST_CASE(RefusesWhatItDoesNotKnow)
+BOOST_AUTO_TEST_CASE(RejectsUnknownSettingsAndUnreadableFiles)
 {
-  const SettingsFile file(std::string(kWhole) + "no-such-setting = 1\n");
+  const SettingsFile file(std::string(kCompleteSettings) + "no-such-setting = 1\n");
   BOOST_TEST(Read({ "--settings", file.path }).faults.size() == 1U);
   BOOST_TEST(Read({ "--no-such-flag", "1" }).faults.size() == 1U);
   BOOST_TEST(Read({ "--settings", "/no/such/file" }).faults.size() == 1U);
--- a/UnitTests/Settings/SettingsReaderTests.cpp
+++ b/UnitTests/Settings/SettingsReaderTests.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Enough flags for a daemon.
+/// The flags of all required settings.
 std::vector<std::string>
 RequiredFlags()
 {
@@ -44,7 +44,7 @@
   BOOST_TEST(outcome.settings.runs.threads == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(FlagWinsOverVariable)
+BOOST_AUTO_TEST_CASE(FlagsOverrideVariables)
 {
   auto flags = RequiredFlags();
   flags.insert(flags.end(), { "--caller-threads", "5" });
@@ -56,7 +56,7 @@
   BOOST_TEST(outcome.settings.runs.threads == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(ReportsAllFaultsAtOnce)
+BOOST_AUTO_TEST_CASE(ReportsAllFaultsTogether)
 {
   const std::vector<std::string> flags{ "--listen", "127.0.0.1:80",  "--admin",     "127.0.0.1:80",
                                         "--peer",   "nowhere",       "--log-level", "loud",
@@ -74,14 +74,14 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(RepeatedFlagIsAFault)
+BOOST_AUTO_TEST_CASE(RepeatedFlagIsReportedAsFault)
 {
   auto flags = RequiredFlags();
   flags.insert(flags.end(), { "--region", "elsewhere" });
   BOOST_TEST(SettingsReader::Read(flags, {}).faults.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(HelpNamesEverySetting)
+BOOST_AUTO_TEST_CASE(HelpListsEverySetting)
 {
   const std::string help = SettingsReader::Help();
   for (const SettingRule& rule : SettingsReader::Rules()) {
