--- a/Lagoonward/Wire/CurlTransfer.cpp
+++ b/Lagoonward/Wire/CurlTransfer.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Pause before, and between, probes of a silent connection; two of them fit the usual 2 s of
+/// Idle time before the first TCP keep-alive probe, and interval between probes. Two probes fit into the default 2 s of
 /// HttpClientSettings::unacknowledgedTimeout.
 constexpr long kKeepAliveSeconds = 1;
 
@@ -104,7 +104,7 @@
 {
   auto& transfer = *static_cast<CurlTransfer*>(aTransfer);
   if (transfer.mayBeSent && !transfer.mayBeSent()) {
-    transfer.isWithdrawn = true;
+    transfer.isCancelled = true;
     return CURL_PREREQFUNC_ABORT;
   }
   const bool isRepeat = std::exchange(transfer.wasSent, true);
@@ -155,15 +155,15 @@
   end.status = static_cast<int>(status);
   end.message = curl_easy_strerror(aResult);
   if (aResult == CURLE_ABORTED_BY_CALLBACK) {
-    end.message = this->isWithdrawn ? "withdrawn before it was sent"
-                                    : "a kept connection turned out to be closed";
+    end.message = this->isCancelled ? "cancelled before the request was sent"
+                                    : "the reused connection was already closed";
   }
   long requestBytes = 0;
   curl_easy_getinfo(this->easy.get(), CURLINFO_REQUEST_SIZE, &requestBytes);
   end.isConnectionRefused = aResult == CURLE_COULDNT_CONNECT;
   if (aResult == CURLE_OK) {
     end.outcome = TransferOutcome::Complete;
-  } else if (requestBytes == 0 || (this->isWithdrawn && !this->wasSent)) {
+  } else if (requestBytes == 0 || (this->isCancelled && !this->wasSent)) {
     end.outcome = TransferOutcome::NotSent;
   } else if (aResult == CURLE_OPERATION_TIMEDOUT) {
     end.outcome = TransferOutcome::TimedOut;
--- a/Lagoonward/Wire/CurlTransfer.h
+++ b/Lagoonward/Wire/CurlTransfer.h
@@ -9,38 +9,41 @@
 
 namespace lagoonward {
 
+/// Frees a libcurl easy handle.
 struct EasyDeleter
 {
   void operator()(CURL* aEasy) const { curl_easy_cleanup(aEasy); }
 };
 
+/// Frees a libcurl header list.
 struct HeaderListDeleter
 {
   void operator()(curl_slist* aList) const { curl_slist_free_all(aList); }
 };
 
-/// One running transfer of a TrafficLoop and everything libcurl holds pointers to.
+/// One running transfer of a TrafficLoop. Owns all objects that libcurl holds pointers to. Used on the loop's thread
+/// only.
 struct CurlTransfer
 {
   CurlTransfer();
   CurlTransfer(const CurlTransfer&) = delete;
   CurlTransfer& operator=(const CurlTransfer&) = delete;
 
-  /// Tells the library what to send, how, and who hears of it.
+  /// Configures the easy handle: request, connection options and callbacks.
   void Prepare(const HttpTransferRequest& aRequest, const HttpClientSettings& aSettings);
 
-  /// Describes the end from the library's result.
+  /// Converts libcurl's result into a TransferEnd.
   [[nodiscard]] TransferEnd DescribeEnd(CURLcode aResult) const;
 
   TransferId id = 0;
   std::unique_ptr<CURL, EasyDeleter> easy;
   std::unique_ptr<curl_slist, HeaderListDeleter> headers;
   std::string body;
-  HttpTransferObserver* observer = nullptr; ///< Null when nobody listens.
+  HttpTransferObserver* observer = nullptr; ///< Null for detached and cancelled transfers.
   Milliseconds unacknowledgedTimeout{ 0 };
   bool singleSend = false;
-  bool wasSent = false;            ///< The library has been about to send the request once.
-  bool isWithdrawn = false;        ///< It was not to be sent any more.
+  bool wasSent = false;            ///< libcurl has started to send the request at least once.
+  bool isCancelled = false;        ///< `mayBeSent` returned false.
   std::function<bool()> mayBeSent; ///< See HttpTransferRequest.
 
 private:
@@ -48,11 +51,11 @@
   void SetConnection(const HttpTransferRequest& aRequest, const HttpClientSettings& aSettings);
   void SetCallbacks();
 
-  /// Called each time before the request is sent; the library may do so again by itself when a kept
-  /// connection was closed at the other end.
+  /// Called before each attempt to send the request. libcurl sends it again on its own when a reused
+  /// connection was closed by the peer.
   static int OnBeforeSend(void* aTransfer, char* aRemote, char* aLocal, int aRemotePort,
                           int aLocalPort);
-  /// Lets a connection to a host that has vanished end by itself.
+  /// Sets TCP_USER_TIMEOUT, so that a connection to a host that no longer responds fails.
   static int OnNewSocket(void* aTransfer, curl_socket_t aSocket, curlsocktype aPurpose);
   static std::size_t OnBytes(char* aData, std::size_t aSize, std::size_t aCount, void* aTransfer);
   static std::size_t OnHeader(char* aData, std::size_t aSize, std::size_t aCount, void* aTransfer);
--- a/Lagoonward/Wire/EventStreamReader.cpp
+++ b/Lagoonward/Wire/EventStreamReader.cpp
@@ -8,7 +8,7 @@
 }
 
 void
-EventStreamReader::KeepPartialLine(std::string_view aBytes)
+EventStreamReader::AppendPartialLine(std::string_view aBytes)
 {
   if (this->partialLine.size() + aBytes.size() > this->maximumEventBytes) {
     this->failed = true;
@@ -32,9 +32,9 @@
 }
 
 bool
-EventStreamReader::TakeLine(std::string_view aLine)
+EventStreamReader::HandleLine(std::string_view aLine)
 {
-  // A blank line ends the event
+  // An empty line ends the event
   if (aLine.empty()) {
     if (this->hasData) {
       return true;
@@ -48,19 +48,19 @@
     return false;
   }
   if (colon == std::string_view::npos) {
-    this->TakeField(aLine, {});
+    this->HandleField(aLine, {});
     return false;
   }
   std::string_view value = aLine.substr(colon + 1);
   if (!value.empty() && value.front() == ' ') {
     value.remove_prefix(1);
   }
-  this->TakeField(aLine.substr(0, colon), value);
+  this->HandleField(aLine.substr(0, colon), value);
   return false;
 }
 
 void
-EventStreamReader::TakeField(std::string_view aName, std::string_view aValue)
+EventStreamReader::HandleField(std::string_view aName, std::string_view aValue)
 {
   if (aName == "event") {
     this->type = aValue;
--- a/Lagoonward/Wire/HttpExchange.cpp
+++ b/Lagoonward/Wire/HttpExchange.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// Bytes that may wait for a slow caller before its stream is given up.
-constexpr std::size_t kMaximumWaitingBytes = 4U << 20U;
+/// Maximum number of bytes buffered for a slow caller; a Write() beyond it fails.
+constexpr std::size_t kMaximumBufferedBytes = 4U << 20U;
 
 bool
 EqualsIgnoringCase(std::string_view aFirst, std::string_view aSecond)
@@ -82,10 +82,10 @@
   if (this->state == State::Done || !this->streamed || this->ended) {
     return false;
   }
-  if (this->bytes.size() - this->sent + aBytes.size() > kMaximumWaitingBytes) {
+  if (this->bytes.size() - this->sent + aBytes.size() > kMaximumBufferedBytes) {
     return false;
   }
-  // Reuse the buffer once it has been sent
+  // Reuse the buffer once all of it has been sent
   if (this->sent == this->bytes.size()) {
     this->bytes.clear();
     this->sent = 0;
@@ -126,7 +126,7 @@
   if (this->state == State::Done) {
     return true;
   }
-  // The server says that it is done with a connection before it closes the descriptor
+  // The server reports completion of a connection before it closes the descriptor, so the descriptor is valid here
   const auto* info = MHD_get_connection_info(this->connection, MHD_CONNECTION_INFO_CONNECTION_FD);
   if (info == nullptr) {
     return false;
--- a/Lagoonward/Wire/HttpExchange.h
+++ b/Lagoonward/Wire/HttpExchange.h
@@ -13,28 +13,28 @@
 
 namespace lagoonward {
 
-/// One header of a message.
+/// Name and value of one header.
 using HttpHeader = std::pair<std::string, std::string>;
 
-/// A whole request as it came in.
+/// A complete request as received.
 struct HttpRequest
 {
   std::string method;
-  std::string target; ///< Path and query exactly as the caller sent them.
+  std::string target; ///< Path and query as sent by the caller, not normalized.
   std::string path;   ///< Unescaped, without the query.
   std::vector<HttpHeader> headers;
   std::vector<HttpHeader> query;
   std::string body;
 
-  /// The header's value, or an empty view. Names are compared without regard to case.
+  /// Returns the header's value, or an empty view. Names are case-insensitive.
   [[nodiscard]] std::string_view Header(std::string_view aName) const;
 
-  /// The query parameter's value, or an empty view.
+  /// Returns the query parameter's value, or an empty view.
   [[nodiscard]] std::string_view Query(std::string_view aName) const;
 };
 
-/// The answering side of one incoming request. An answer is either one piece, Respond(), or a
-/// stream, BeginStream() then Write() and EndStream(). Safe from any thread.
+/// The response side of one incoming request. The response is either sent at once with Respond(), or streamed with
+/// BeginStream(), Write() and EndStream(). Thread-safe.
 class HttpExchange
 {
 public:
@@ -42,46 +42,46 @@
   HttpExchange(const HttpExchange&) = delete;
   HttpExchange& operator=(const HttpExchange&) = delete;
 
-  /// Answers in one piece. Ignored when an answer has begun or the caller has gone.
+  /// Sends the complete response. Ignored when a response has begun or the caller has disconnected.
   void Respond(int aStatus, std::vector<HttpHeader> aHeaders, std::string aBody);
 
-  /// Begins a streamed answer with chunked encoding.
+  /// Begins a streamed response with chunked encoding.
   void BeginStream(int aStatus, std::vector<HttpHeader> aHeaders);
 
-  /// Adds bytes to the streamed answer.
-  /// @return false when the caller has gone, or more than the server's limit waits to be sent
+  /// Appends bytes to the streamed response.
+  /// @return false when the caller has disconnected, or the unsent bytes would exceed the server's limit
   bool Write(std::string_view aBytes);
 
-  /// Ends the streamed answer properly.
+  /// Ends the streamed response normally.
   void EndStream();
 
-  /// Breaks the streamed answer off: the caller sees that it is not whole. Before any answer it closes
-  /// the connection.
+  /// Aborts the streamed response, so that the caller can detect that it is incomplete. Closes the connection if
+  /// no response has begun.
   void AbortStream();
 
-  /// Called once if the connection is lost before the answer was sent whole. Runs on a server
-  /// thread; set before the first answer call.
+  /// Sets a callback that is called once if the connection is lost before the response was sent completely. It runs on
+  /// a server thread. Must be set before the first call that responds.
   void OnCallerGone(std::function<void()> aCallback);
 
-  /// Looks at the socket whether the caller has closed it, or its sending half. True only when sure.
-  /// A connection whose answer is pending is not read by the server, so nothing else would show it.
+  /// Polls the socket for whether the caller has closed it, or its sending half. Returns true only when certain.
+  /// The server does not read from a connection whose response is pending, so it would not detect the close otherwise.
   [[nodiscard]] bool IsCallerGone();
 
 private:
   friend class HttpServer;
   enum class State
   {
-    Waiting,   ///< No answer yet.
-    Ready,     ///< An answer is waiting to be queued.
-    Streaming, ///< The streamed answer's head has been queued.
-    Done,      ///< The connection has let go of this exchange.
+    Waiting,   ///< No response yet.
+    Ready,     ///< A response is ready to be queued.
+    Streaming, ///< The response has been queued.
+    Done,      ///< The server has finished with this exchange.
   };
 
-  /// Lets the server thread go on with the connection. Called with the mutex held.
+  /// Resumes the connection on its server thread if it is suspended. Called with the mutex held.
   void ResumeLocked();
 
   std::mutex mutex;
-  MHD_Connection* connection; ///< Owned by the server; null once done.
+  MHD_Connection* connection; ///< Owned by the server; null in State::Done.
   State state = State::Waiting;
   bool suspended = false;
   bool streamed = false;
@@ -89,8 +89,8 @@
   bool aborted = false;
   int status = 0;
   std::vector<HttpHeader> headers;
-  std::string bytes;    ///< Body, or the part of the stream that waits to be sent.
-  std::size_t sent = 0; ///< How much of `bytes` has been handed over.
+  std::string bytes;    ///< The body, or the buffered part of the stream.
+  std::size_t sent = 0; ///< Number of bytes of `bytes` passed to the server.
   std::function<void()> onCallerGone;
 };
 
--- a/Lagoonward/Wire/HttpServer.cpp
+++ b/Lagoonward/Wire/HttpServer.cpp
@@ -14,8 +14,9 @@
 
 namespace {
 
-/// A caller that goes on sending past this multiple of the body limit is cut off.
-constexpr std::size_t kOversendFactor = 4;
+/// The connection of a caller that sends more than this multiple of the body limit is closed. Up to it the body is read
+/// and discarded, so that the caller receives the error response.
+constexpr std::size_t kMaximumOversizeFactor = 4;
 
 struct ResponseDeleter
 {
@@ -24,7 +25,7 @@
 
 using ResponsePtr = std::unique_ptr<MHD_Response, ResponseDeleter>;
 
-/// Reader state of one streamed answer; libmicrohttpd owns it.
+/// Read state of one streamed response. Owned by libmicrohttpd.
 struct StreamSource
 {
   HttpExchangePtr exchange;
@@ -32,19 +33,19 @@
 
 } // namespace
 
-/// What one connection's request has brought so far.
+/// The request that a connection is receiving.
 struct IncomingRequest
 {
   HttpRequest request;
   HttpExchangePtr exchange;
   std::size_t receivedBytes = 0;
-  bool begun = false; ///< The headers have been taken in.
-  bool handedOver = false;
+  bool begun = false;      ///< The headers have been processed.
+  bool handedOver = false; ///< The request has been passed to the handler.
 };
 
 namespace {
 
-/// Whether two parsers could disagree on where the request's body ends (RFC 9112, section 6.3).
+/// Returns whether two parsers could disagree on where the request's body ends (RFC 9112, section 6.3).
 bool
 IsFramingAmbiguous(const HttpRequest& aRequest)
 {
@@ -77,7 +78,7 @@
     return MHD_YES;
   }
 
-  /// Answers straight away with an error of the table.
+  /// Responds with an error and closes the connection.
   static MHD_Result Refuse(MHD_Connection* aConnection, const Error& aError)
   {
     const std::string body = aError.ToJson();
@@ -89,7 +90,7 @@
       aConnection, static_cast<unsigned>(GetErrorRule(aError.kind).httpStatus), response.get());
   }
 
-  /// Sees the target before it is unescaped. What it returns becomes the request's context.
+  /// Records the target before it is unescaped. The returned pointer becomes the request's context.
   static void* OnTarget(void* aServer, const char* aTarget, MHD_Connection* /*aConnection*/)
   {
     auto incoming = std::make_unique<IncomingRequest>();
@@ -110,11 +111,12 @@
     aIncoming.exchange = std::make_shared<HttpExchange>(aConnection);
     if (IsFramingAmbiguous(aIncoming.request)) {
       return Refuse(aConnection, Error(ErrorKind::InvalidRequest,
-                                       "The headers do not say clearly where the body ends."));
+                                       "The end of the body is ambiguous: expected at most one "
+                                       "Content-Length or Transfer-Encoding: chunked header."));
     }
     const std::string_view length = aIncoming.request.Header("Content-Length");
 
-    // Refuse an announced oversize before its bytes come
+    // Reject a body whose announced length is too large before it is received
     std::size_t announced = 0;
     std::from_chars(length.data(), length.data() + length.size(), announced);
     if (announced > aServer.settings.maximumBodyBytes) {
@@ -125,8 +127,8 @@
 
   static Error BodyTooLarge(const HttpServer& aServer)
   {
-    return { ErrorKind::BodyTooLarge,
-             fmt::format("The body may have {} bytes.", aServer.settings.maximumBodyBytes) };
+    return { ErrorKind::BodyTooLarge, fmt::format("The body exceeds the limit of {} bytes.",
+                                                  aServer.settings.maximumBodyBytes) };
   }
 
   static MHD_Result OnAccess(void* aServer, MHD_Connection* aConnection, const char* aUrl,
@@ -143,12 +145,12 @@
     }
     // Collect the body
     if (*aUploadSize > 0) {
-      return TakeUpload(server, *incoming, { aUpload, std::exchange(*aUploadSize, 0) });
+      return AppendBody(server, *incoming, { aUpload, std::exchange(*aUploadSize, 0) });
     }
     if (incoming->receivedBytes > server.settings.maximumBodyBytes) {
       return Refuse(aConnection, BodyTooLarge(server));
     }
-    // Hand over the whole request once
+    // Pass the complete request to the handler once
     if (!incoming->handedOver) {
       incoming->handedOver = true;
       server.handler(std::move(incoming->request), incoming->exchange);
@@ -156,7 +158,7 @@
     return QueueOrSuspend(server, aConnection, incoming->exchange);
   }
 
-  static MHD_Result TakeUpload(const HttpServer& aServer, IncomingRequest& aIncoming,
+  static MHD_Result AppendBody(const HttpServer& aServer, IncomingRequest& aIncoming,
                                std::string_view aBytes)
   {
     const std::size_t limit = aServer.settings.maximumBodyBytes;
@@ -165,16 +167,16 @@
       aIncoming.request.body.append(aBytes);
       return MHD_YES;
     }
-    return aIncoming.receivedBytes > limit * kOversendFactor ? MHD_NO : MHD_YES;
+    return aIncoming.receivedBytes > limit * kMaximumOversizeFactor ? MHD_NO : MHD_YES;
   }
 
-  /// Queues the answer if there is one; otherwise parks the connection until there is.
+  /// Queues the response if it is ready; otherwise suspends the connection until it is.
   static MHD_Result QueueOrSuspend(HttpServer& aServer, MHD_Connection* aConnection,
                                    const HttpExchangePtr& aExchange)
   {
     const std::scoped_lock lock(aExchange->mutex);
     if (aExchange->state == HttpExchange::State::Waiting) {
-      // Nobody waits any more: close without an answer
+      // Aborted before a response began: close the connection
       if (aExchange->aborted) {
         return MHD_NO;
       }
@@ -205,7 +207,7 @@
         MHD_create_response_from_callback(MHD_SIZE_UNKNOWN, aServer.settings.streamBlockBytes,
                                           &ReadStream, source.release(), &FreeStream));
     }
-    // The exchange outlives the response, so its bytes need no copy
+    // The exchange outlives the response, so its bytes need not be copied
     return ResponsePtr(MHD_create_response_from_buffer(
       aExchange->bytes.size(), aExchange->bytes.data(), MHD_RESPMEM_PERSISTENT));
   }
@@ -240,16 +242,16 @@
     if (incoming == nullptr) {
       return;
     }
-    std::function<void()> gone;
+    std::function<void()> onCallerGone;
     if (incoming->exchange != nullptr) {
       const std::scoped_lock lock(incoming->exchange->mutex);
       incoming->exchange->state = HttpExchange::State::Done;
       incoming->exchange->connection = nullptr;
       incoming->exchange->suspended = false;
-      std::swap(gone, incoming->exchange->onCallerGone);
+      std::swap(onCallerGone, incoming->exchange->onCallerGone);
     }
-    if (aCode != MHD_REQUEST_TERMINATED_COMPLETED_OK && gone) {
-      gone();
+    if (aCode != MHD_REQUEST_TERMINATED_COMPLETED_OK && onCallerGone) {
+      onCallerGone();
     }
     --static_cast<HttpServer*>(aServer)->openExchanges;
   }
@@ -279,7 +281,7 @@
   address.sin_family = AF_INET;
   address.sin_port = htons(this->settings.port);
   if (inet_pton(AF_INET, this->settings.address.c_str(), &address.sin_addr) != 1) {
-    return Error(ErrorKind::InvalidSettings, this->settings.address + " is not an IP number.");
+    return Error(ErrorKind::InvalidSettings, this->settings.address + " is not an IPv4 address.");
   }
   this->listening = true;
   this->daemon.reset(MHD_start_daemon(
@@ -312,7 +314,7 @@
 {
   if (this->daemon != nullptr && this->listening.exchange(false)) {
     const int descriptor = MHD_quiesce_daemon(this->daemon.get());
-    // Refuses new connections now; the server threads may still hold the number until they end
+    // Refuses new connections at once. The descriptor stays open, as server threads may still use it until they end
     ::shutdown(descriptor, SHUT_RD);
     this->quiesced = UniqueFd(descriptor);
   }
--- a/Lagoonward/Wire/HttpServer.h
+++ b/Lagoonward/Wire/HttpServer.h
@@ -14,21 +14,21 @@
 
 namespace lagoonward {
 
-/// Tunables of an HTTP server.
+/// Settings of an HttpServer.
 struct HttpServerSettings
 {
-  std::string address = "127.0.0.1"; ///< IP number to listen on.
-  std::uint16_t port = 0;            ///< Zero picks a free one.
+  std::string address = "127.0.0.1"; ///< IPv4 address to listen on.
+  std::uint16_t port = 0;            ///< Zero selects a free port.
   unsigned threads = 1;
   unsigned maximumConnections = 4096;
   std::size_t maximumBodyBytes = 4U << 20U;
-  std::size_t connectionMemoryBytes = 16U << 10U; ///< Bounds the headers as well.
-  std::size_t streamBlockBytes = 2048; ///< Largest piece of a stream sent at once; held by each.
-  unsigned idleTimeoutSeconds = 30;    ///< Longest silence of a caller that owes us bytes.
+  std::size_t connectionMemoryBytes = 16U << 10U; ///< Per connection; limits the headers as well.
+  std::size_t streamBlockBytes = 2048; ///< Largest block of a streamed response; one per stream.
+  unsigned idleTimeoutSeconds = 30;    ///< Timeout for a caller that stops sending its request.
 };
 
-/// An HTTP/1.1 server. Hands each whole request to a handler, which answers through the exchange
-/// at once or later, from any thread.
+/// An HTTP/1.1 server based on libmicrohttpd. Passes each complete request to a handler, which responds through the
+/// exchange, immediately or later, from any thread. The handler runs on a server thread.
 class HttpServer
 {
 public:
@@ -39,27 +39,28 @@
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
 
-  /// Binds and starts the threads.
+  /// Binds the socket and starts the threads. Errors: InvalidSettings.
   [[nodiscard]] Result<void> Start();
 
-  /// From now on each answer closes its connection, so that callers go elsewhere. New connections
-  /// are still taken, since a balancer needs a moment to stop sending them.
+  /// Closes each connection after its next response, so that callers reconnect to another daemon. New connections
+  /// are still accepted, because a load balancer takes some time to stop sending them.
   void CloseAfterAnswers();
 
-  /// Takes no new connections; those open are served on, each closed after its answer.
+  /// Stops accepting connections. Open connections are still served and are closed after their next response.
   void StopListening();
 
-  /// Ends all threads and connections. Every exchange must have been answered. Safe to call twice.
+  /// Stops all threads and closes all connections. Requires that every exchange has been responded to. May be called
+  /// twice.
   void Stop();
 
-  /// The port it listens on, once started.
+  /// Returns the port that the server listens on. Valid after Start().
   [[nodiscard]] std::uint16_t Port() const;
 
-  /// Requests received and not yet answered whole.
+  /// Returns the number of requests whose response has not been sent completely.
   [[nodiscard]] int OpenExchanges() const;
 
 private:
-  /// libmicrohttpd's callbacks; kept out of this header.
+  /// The callbacks of libmicrohttpd. Defined in the source file, so that its header is not included here.
   struct Callbacks;
   friend struct Callbacks;
 
--- a/Lagoonward/Wire/HttpTransfer.h
+++ b/Lagoonward/Wire/HttpTransfer.h
@@ -10,20 +10,20 @@
 
 namespace lagoonward {
 
-/// Names one transfer of a TrafficLoop.
+/// Identifies a transfer of a TrafficLoop.
 using TransferId = std::uint64_t;
 
-/// Tunables of outgoing HTTP.
+/// Settings of outgoing HTTP connections.
 struct HttpClientSettings
 {
-  Milliseconds connectTimeout{ 500 }; ///< Longest wait for a TCP connection within the region.
-  int maximumIdleConnections = 256;   ///< Connections that each loop keeps open for reuse.
-  /// Receive buffer of each transfer. A stream's tokens need little, and many streams are open at once.
+  Milliseconds connectTimeout{ 500 }; ///< Timeout of a TCP connection attempt within the region.
+  int maximumIdleConnections = 256;   ///< Open connections that each loop keeps for reuse.
+  /// Receive buffer of each transfer. Small, because token events are short and many streams are open at the same time.
   long receiveBufferBytes = 2048;
-  /// Longest time that sent bytes may stay unacknowledged before the connection counts as lost. A host
-  /// without power answers nothing at all; one that is only slow still acknowledges.
+  /// Time after which a connection with unacknowledged bytes is treated as lost. A host without power sends no
+  /// acknowledgements, while the kernel of an overloaded host still does.
   Milliseconds unacknowledgedTimeout{ 2000 };
-  /// Idle connections older than this are not used again: the other end may be about to close them.
+  /// Connections idle for longer than this are not reused, because the peer may be about to close them.
   Seconds maximumIdleAge{ 118 };
 };
 
@@ -32,53 +32,54 @@
 {
   std::string method = "GET";
   std::string url;
-  std::vector<std::string> headers; ///< Whole header lines, `Name: value`.
+  std::vector<std::string> headers; ///< Complete header lines, `Name: value`.
   std::string body;
-  /// Sends at most once, on a kept connection or a new one. When a kept one turns out to be closed, the
-  /// transfer ends as Broken instead of being sent again by the library.
+  /// Sends the request at most once, on a reused or a new connection. When a reused connection is already closed, the
+  /// transfer ends as Broken instead of being sent again by libcurl.
   bool singleSend = false;
-  /// Opens a new connection and sends at most once. Without it libcurl may send again on a new
-  /// connection when a reused one turns out to be closed, which a non-idempotent call must not.
+  /// Opens a new connection and sends the request at most once. Otherwise libcurl may send it again on a new
+  /// connection when a reused one is already closed, which is not allowed for a non-idempotent call.
   bool freshConnection = false;
-  Milliseconds timeout{ 0 }; ///< Limit for the whole transfer; zero for none.
-  /// Asked on the loop right before the request leaves this host, which may be long after the transfer was started: a
-  /// connection has to be opened first. False ends the transfer as NotSent. Empty for always.
+  Milliseconds timeout{ 0 }; ///< Timeout of the complete transfer; zero for none.
+  /// Called on the loop's thread immediately before the request is sent, which may be long after the transfer was
+  /// started because a connection has to be opened first. Returning false ends the transfer as NotSent. Empty means
+  /// true.
   std::function<bool()> mayBeSent;
 };
 
 /// How a transfer ended.
 enum class TransferOutcome
 {
-  Complete, ///< A whole response arrived; its status may still be an error.
-  NotSent,  ///< Proven: nothing of the request left this host (connection refused or timed out).
+  Complete, ///< A complete response was received; its status may be an error.
+  NotSent,  ///< Certain: no byte of the request was sent (connection refused or timed out).
   Broken,   ///< The connection failed after the request may have been sent.
-  TimedOut, ///< The limit for the whole transfer passed after the request may have been sent.
+  TimedOut, ///< The transfer's timeout expired after the request may have been sent.
 };
 
-/// The end of a transfer.
+/// The result of a transfer.
 struct TransferEnd
 {
   TransferOutcome outcome = TransferOutcome::Broken;
-  int status = 0; ///< HTTP status; zero when no response began.
+  int status = 0; ///< HTTP status; zero if no response was received.
   bool isConnectionRefused =
-    false;             ///< Nobody listens there: no new connection could be made, and that at once.
-  std::string message; ///< What the library said; for logs.
+    false;             ///< The connection attempt failed immediately: nothing listens there.
+  std::string message; ///< Error text for logs.
 };
 
-/// Hears of one transfer. All calls come on the loop's thread.
+/// Receives the events of one transfer. All calls are made on the loop's thread.
 class HttpTransferObserver
 {
 public:
   virtual ~HttpTransferObserver() = default;
 
-  /// A header line of the response, without its line end. Also called for the status line.
+  /// Called for each header line of the response, without its line end, and for the status line.
   virtual void OnHeaderLine(std::string_view aLine) { static_cast<void>(aLine); }
 
-  /// Bytes of the response body.
+  /// Called with bytes of the response body.
   /// @param aStatus  the response's HTTP status
   virtual void OnBytes(int aStatus, std::string_view aBytes) = 0;
 
-  /// The transfer is over. The observer may be destroyed in this call.
+  /// Called once when the transfer has ended. The observer may be destroyed in this call.
   virtual void OnEnd(const TransferEnd& aEnd) = 0;
 };
 
--- a/Lagoonward/Wire/TrafficLoop.cpp
+++ b/Lagoonward/Wire/TrafficLoop.cpp
@@ -31,7 +31,7 @@
 }
 
 int
-ToLibraryEvents(std::uint32_t aEvents)
+ToCurlEvents(std::uint32_t aEvents)
 {
   int flags = 0;
   if ((aEvents & (EPOLLIN | EPOLLHUP)) != 0) {
@@ -157,7 +157,7 @@
   transfer->Prepare(aRequest, this->settings);
   const TransferId id = transfer->id;
   this->transfers.emplace(id, std::move(transfer));
-  this->toStart.push_back(id);
+  this->pendingStarts.push_back(id);
   return id;
 }
 
@@ -169,7 +169,7 @@
     return;
   }
   found->second->observer = nullptr;
-  this->toCancel.push_back(aTransfer);
+  this->pendingCancels.push_back(aTransfer);
 }
 
 const Clock&
@@ -189,7 +189,7 @@
       }
     }
     this->WaitAndDispatch();
-    this->CollectFinished();
+    this->HandleFinishedTransfers();
     this->RunDueTimers();
     this->RunPostedTasks();
     this->ApplyStartsAndCancels();
@@ -199,21 +199,21 @@
 void
 TrafficLoop::ApplyStartsAndCancels()
 {
-  for (const TransferId id : this->toStart) {
+  for (const TransferId id : this->pendingStarts) {
     const auto found = this->transfers.find(id);
     if (found != this->transfers.end()) {
       curl_multi_add_handle(this->multi.get(), found->second->easy.get());
     }
   }
-  this->toStart.clear();
-  for (const TransferId id : this->toCancel) {
+  this->pendingStarts.clear();
+  for (const TransferId id : this->pendingCancels) {
     const auto found = this->transfers.find(id);
     if (found != this->transfers.end()) {
       curl_multi_remove_handle(this->multi.get(), found->second->easy.get());
       this->transfers.erase(found);
     }
   }
-  this->toCancel.clear();
+  this->pendingCancels.clear();
 }
 
 void
@@ -230,11 +230,11 @@
       static_cast<void>(::read(this->wakeup.Get(), &ignored, sizeof(ignored)));
       continue;
     }
-    curl_multi_socket_action(this->multi.get(), event.data.fd, ToLibraryEvents(event.events),
+    curl_multi_socket_action(this->multi.get(), event.data.fd, ToCurlEvents(event.events),
                              &running);
   }
-  if (this->clock.Now() >= this->libraryTimer) {
-    this->libraryTimer = TimePoint::max();
+  if (this->clock.Now() >= this->curlTimeout) {
+    this->curlTimeout = TimePoint::max();
     curl_multi_socket_action(this->multi.get(), CURL_SOCKET_TIMEOUT, 0, &running);
   }
 }
@@ -242,7 +242,7 @@
 int
 TrafficLoop::NextWaitMilliseconds() const
 {
-  TimePoint next = this->libraryTimer;
+  TimePoint next = this->curlTimeout;
   if (!this->timers.empty()) {
     next = std::min(next, this->timers.begin()->first);
   }
@@ -284,7 +284,7 @@
 }
 
 void
-TrafficLoop::CollectFinished()
+TrafficLoop::HandleFinishedTransfers()
 {
   int remaining = 0;
   while (CURLMsg* message = curl_multi_info_read(this->multi.get(), &remaining)) {
@@ -296,7 +296,7 @@
     curl_easy_getinfo(message->easy_handle, CURLINFO_PRIVATE, &finished);
     assert(finished != nullptr);
 
-    // Take the transfer out first: the observer may start another one or destroy itself
+    // Remove the transfer first, because the observer may start another one or destroy itself
     const auto found = this->transfers.find(finished->id);
     assert(found != this->transfers.end());
     const std::unique_ptr<CurlTransfer> transfer = std::move(found->second);
@@ -316,7 +316,8 @@
 }
 
 int
-TrafficLoop::OnSocket(CURL* /*aEasy*/, curl_socket_t aSocket, int aWhat, void* aLoop, void* aKnown)
+TrafficLoop::OnSocket(CURL* /*aEasy*/, curl_socket_t aSocket, int aWhat, void* aLoop,
+                      void* aRegistered)
 {
   auto& loop = *static_cast<TrafficLoop*>(aLoop);
   if (aWhat == CURL_POLL_REMOVE) {
@@ -327,9 +328,9 @@
   epoll_event event{};
   event.events = ToEpollEvents(aWhat);
   event.data.fd = aSocket;
-  const int operation = aKnown == nullptr ? EPOLL_CTL_ADD : EPOLL_CTL_MOD;
+  const int operation = aRegistered == nullptr ? EPOLL_CTL_ADD : EPOLL_CTL_MOD;
   epoll_ctl(loop.epoll.Get(), operation, aSocket, &event);
-  // Any value but null marks the socket as known to epoll
+  // A non-null value marks the socket as registered with epoll
   curl_multi_assign(loop.multi.get(), aSocket, aLoop);
   return 0;
 }
@@ -338,7 +339,7 @@
 TrafficLoop::OnTimer(CURLM* /*aMulti*/, long aMilliseconds, void* aLoop)
 {
   auto& loop = *static_cast<TrafficLoop*>(aLoop);
-  loop.libraryTimer =
+  loop.curlTimeout =
     aMilliseconds < 0 ? TimePoint::max() : loop.clock.Now() + Milliseconds(aMilliseconds);
   return 0;
 }
--- a/Lagoonward/Wire/TrafficLoop.h
+++ b/Lagoonward/Wire/TrafficLoop.h
@@ -18,9 +18,9 @@
 
 struct CurlTransfer;
 
-/// One traffic thread: an epoll loop that runs outgoing HTTP transfers, timers and posted tasks.
-/// Everything that belongs to one request stays on one loop, so that its state needs no locks.
-/// Only Post() may be called from other threads.
+/// An event loop on its own thread, based on epoll and libcurl, that runs outgoing HTTP transfers, timers and posted
+/// tasks. All work of one request runs on one loop, so that its state needs no locks. Post() is thread-safe; transfers
+/// and timers may be used on the loop's thread only.
 class TrafficLoop
 {
 public:
@@ -35,27 +35,27 @@
   /// Starts the thread.
   void Start();
 
-  /// Ends the thread; transfers still open are dropped without a callback. Safe to call twice.
+  /// Stops the thread. Open transfers are dropped without a callback. May be called twice.
   void Stop();
 
-  /// Runs the task on the loop, in the order of posting. Safe from any thread.
+  /// Runs the task on the loop's thread. Tasks run in the order of posting. Thread-safe.
   void Post(Task aTask);
 
-  /// Runs the task once after the delay.
+  /// Runs the task once, after the delay.
   TimerId RunAfter(Milliseconds aDelay, Task aTask);
 
-  /// Forgets a timer. Does nothing when it has run.
+  /// Cancels a timer. Does nothing if it has run.
   void CancelTimer(TimerId aTimer);
 
-  /// Starts a transfer. The observer hears of its headers, its bytes and, exactly once, its end;
-  /// never before this call has returned.
-  /// @return a number for CancelTransfer()
+  /// Starts a transfer. The observer receives its headers, its bytes and, exactly once, its end, always after
+  /// this call has returned.
+  /// @return the id for CancelTransfer()
   TransferId StartTransfer(const HttpTransferRequest& aRequest, HttpTransferObserver& aObserver);
 
-  /// Starts a transfer whose result nobody waits for. The request must carry a timeout.
+  /// Starts a transfer whose result is ignored. The request must have a timeout.
   void StartDetachedTransfer(const HttpTransferRequest& aRequest);
 
-  /// Ends a transfer; its observer hears no more of it. Does nothing when it has ended.
+  /// Cancels a transfer; its observer is not called again. Does nothing if the transfer has ended.
   void CancelTransfer(TransferId aTransfer);
 
   [[nodiscard]] const Clock& GetClock() const;
@@ -72,17 +72,18 @@
   [[nodiscard]] int NextWaitMilliseconds() const;
   void RunDueTimers();
   void RunPostedTasks();
-  void CollectFinished();
+  void HandleFinishedTransfers();
   void ApplyStartsAndCancels();
   void Wake() const;
-  static int OnSocket(CURL* aEasy, curl_socket_t aSocket, int aWhat, void* aLoop, void* aKnown);
+  static int OnSocket(CURL* aEasy, curl_socket_t aSocket, int aWhat, void* aLoop,
+                      void* aRegistered);
   static int OnTimer(CURLM* aMulti, long aMilliseconds, void* aLoop);
 
   const Clock& clock;
   HttpClientSettings settings;
   std::unique_ptr<CURLM, MultiDeleter> multi;
   UniqueFd epoll;
-  UniqueFd wakeup; ///< eventfd that Post() writes to.
+  UniqueFd wakeup; ///< eventfd that Post() and Stop() write to.
   std::thread thread;
 
   std::mutex tasksMutex;
@@ -93,10 +94,10 @@
   TimerMap timers;
   std::unordered_map<TimerId, TimerMap::iterator> timersById;
   TimerId nextTimer = 1;
-  TimePoint libraryTimer = TimePoint::max(); ///< When libcurl wants to be called; max for never.
+  TimePoint curlTimeout = TimePoint::max(); ///< When libcurl's timeout is due; max for never.
   std::unordered_map<TransferId, std::unique_ptr<CurlTransfer>> transfers;
-  std::vector<TransferId> toStart;  ///< libcurl takes no new transfer inside its callbacks.
-  std::vector<TransferId> toCancel; ///< Nor does it let one go there.
+  std::vector<TransferId> pendingStarts;  ///< libcurl cannot add transfers in callbacks.
+  std::vector<TransferId> pendingCancels; ///< Nor can it remove them there.
   TransferId nextTransfer = 1;
 };
 
--- a/UnitTests/Wire/EventStreamReaderTests.cpp
+++ b/UnitTests/Wire/EventStreamReaderTests.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-/// All events of a text that arrives in pieces of the given size.
+/// Returns all events of a text that is consumed in chunks of the given size.
 std::vector<std::string>
-ReadInPieces(std::string_view aText, std::size_t aPiece)
+ReadInChunks(std::string_view aText, std::size_t aChunkSize)
 {
   EventStreamReader reader(1024);
   std::vector<std::string> events;
-  for (std::size_t position = 0; position < aText.size(); position += aPiece) {
-    reader.Consume(aText.substr(position, aPiece), [&](const StreamEvent& aEvent) {
+  for (std::size_t position = 0; position < aText.size(); position += aChunkSize) {
+    reader.Consume(aText.substr(position, aChunkSize), [&](const StreamEvent& aEvent) {
       events.push_back(std::string(aEvent.type) + "|" + std::string(aEvent.data));
     });
   }
@@ -27,22 +27,22 @@
 
 BOOST_AUTO_TEST_SUITE(EventStreamReaderTests)
 
-BOOST_AUTO_TEST_CASE(PiecesOfAnySizeGiveTheSameEvents)
+BOOST_AUTO_TEST_CASE(ChunkSizeDoesNotAffectTheEvents)
 {
   const std::string text = ": comment\r\n\r\ndata: {\"index\":0}\r\n\r\nevent: error\ndata:a\n"
                            "data: b\nid: 7\n\nevent: nothing\n\ndata: [DONE]\n\n";
   const std::vector<std::string> expected{ "|{\"index\":0}", "error|a\nb", "|[DONE]" };
-  for (std::size_t piece = 1; piece <= text.size(); ++piece) {
-    BOOST_TEST(ReadInPieces(text, piece) == expected, boost::test_tools::per_element());
+  for (std::size_t chunkSize = 1; chunkSize <= text.size(); ++chunkSize) {
+    BOOST_TEST(ReadInChunks(text, chunkSize) == expected, boost::test_tools::per_element());
   }
 }
 
 BOOST_AUTO_TEST_CASE(UnfinishedEventIsNotReported)
 {
-  BOOST_TEST(ReadInPieces("data: cut", 4).empty());
+  BOOST_TEST(ReadInChunks("data: cut", 4).empty());
 }
 
-BOOST_AUTO_TEST_CASE(OversizedLineFailsForGood)
+BOOST_AUTO_TEST_CASE(OversizedLineFailsPermanently)
 {
   EventStreamReader reader(8);
   int events = 0;
--- a/UnitTests/Wire/HttpTests.cpp
+++ b/UnitTests/Wire/HttpTests.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Collects one transfer's response.
+/// Collects the response of one transfer.
 class CollectingObserver final : public HttpTransferObserver
 {
 public:
@@ -21,10 +21,10 @@
   std::promise<TransferEnd> end;
 };
 
-/// A server with a given handler and one client loop.
-struct Pair
+/// A server with the given handler and a client loop.
+struct ServerAndClient
 {
-  explicit Pair(HttpServer::Handler aHandler)
+  explicit ServerAndClient(HttpServer::Handler aHandler)
     : server({ .maximumBodyBytes = 100 }, std::move(aHandler))
     , loop(clock, {})
   {
@@ -48,22 +48,22 @@
 
 BOOST_AUTO_TEST_SUITE(HttpTests)
 
-BOOST_AUTO_TEST_CASE(AnswersAtOnce)
+BOOST_AUTO_TEST_CASE(RespondsImmediately)
 {
-  Pair pair([](const HttpRequest& aRequest, const HttpExchangePtr& aExchange) {
+  ServerAndClient fixture([](const HttpRequest& aRequest, const HttpExchangePtr& aExchange) {
     aExchange->Respond(201, {}, aRequest.method + aRequest.path + aRequest.body);
   });
   CollectingObserver observer;
-  const TransferEnd end = pair.Fetch({ .method = "POST", .url = "/x", .body = "abc" }, observer);
+  const TransferEnd end = fixture.Fetch({ .method = "POST", .url = "/x", .body = "abc" }, observer);
   BOOST_TEST((end.outcome == TransferOutcome::Complete));
   BOOST_TEST(end.status == 201);
   BOOST_TEST(observer.body == "POST/xabc");
 }
 
-BOOST_AUTO_TEST_CASE(StreamsFromAnotherThread)
+BOOST_AUTO_TEST_CASE(StreamsResponseFromAnotherThread)
 {
   std::thread writer;
-  Pair pair([&](const HttpRequest&, const HttpExchangePtr& aExchange) {
+  ServerAndClient fixture([&](const HttpRequest&, const HttpExchangePtr& aExchange) {
     writer = std::thread([aExchange] {
       aExchange->BeginStream(200, {});
       for (int piece = 0; piece < 1000; ++piece) {
@@ -77,75 +77,76 @@
     expected += std::to_string(piece) + ",";
   }
   CollectingObserver observer;
-  BOOST_TEST((pair.Fetch({ .url = "/" }, observer).outcome == TransferOutcome::Complete));
+  BOOST_TEST((fixture.Fetch({ .url = "/" }, observer).outcome == TransferOutcome::Complete));
   BOOST_TEST(observer.body == expected);
   writer.join();
 }
 
-BOOST_AUTO_TEST_CASE(RefusesOversizedBody)
+BOOST_AUTO_TEST_CASE(RejectsOversizedBody)
 {
-  Pair pair([](const HttpRequest&, const HttpExchangePtr& aExchange) {
+  ServerAndClient fixture([](const HttpRequest&, const HttpExchangePtr& aExchange) {
     aExchange->Respond(200, {}, "handled");
   });
   CollectingObserver observer;
   const TransferEnd end =
-    pair.Fetch({ .method = "POST", .url = "/", .body = std::string(101, 'a') }, observer);
+    fixture.Fetch({ .method = "POST", .url = "/", .body = std::string(101, 'a') }, observer);
   BOOST_TEST(end.status == 413);
   BOOST_TEST(observer.body.find("body_too_large") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(RefusedConnectionIsProvenNotSent)
+BOOST_AUTO_TEST_CASE(RefusedConnectionEndsAsNotSent)
 {
-  Pair pair([](const HttpRequest&, const HttpExchangePtr&) {});
-  pair.server.Stop();
+  ServerAndClient fixture([](const HttpRequest&, const HttpExchangePtr&) {});
+  fixture.server.Stop();
   HttpServer unused({}, [](const HttpRequest&, const HttpExchangePtr&) {});
   BOOST_REQUIRE(unused.Start().has_value());
   const std::string url = "http://127.0.0.1:" + std::to_string(unused.Port());
   unused.Stop();
   CollectingObserver observer;
-  pair.loop.Post([&] { pair.loop.StartTransfer({ .method = "POST", .url = url }, observer); });
+  fixture.loop.Post(
+    [&] { fixture.loop.StartTransfer({ .method = "POST", .url = url }, observer); });
   BOOST_TEST((observer.end.get_future().get().outcome == TransferOutcome::NotSent));
 }
 
-BOOST_AUTO_TEST_CASE(StopListeningFinishesOpenExchanges)
+BOOST_AUTO_TEST_CASE(StopListeningRefusesNewConnectionsAndFinishesOpenExchanges)
 {
   std::promise<HttpExchangePtr> received;
-  Pair pair(
+  ServerAndClient fixture(
     [&](const HttpRequest&, const HttpExchangePtr& aExchange) { received.set_value(aExchange); });
   CollectingObserver observer;
-  const std::string url = "http://127.0.0.1:" + std::to_string(pair.server.Port());
-  pair.loop.Post([&] { pair.loop.StartTransfer({ .url = url }, observer); });
+  const std::string url = "http://127.0.0.1:" + std::to_string(fixture.server.Port());
+  fixture.loop.Post([&] { fixture.loop.StartTransfer({ .url = url }, observer); });
   const HttpExchangePtr exchange = received.get_future().get();
-  pair.server.StopListening();
+  fixture.server.StopListening();
 
-  // A new connection is refused, the open one is answered
+  // A new connection is refused; the request on the open connection receives its response
   CollectingObserver late;
-  pair.loop.Post([&] { pair.loop.StartTransfer({ .url = url }, late); });
+  fixture.loop.Post([&] { fixture.loop.StartTransfer({ .url = url }, late); });
   BOOST_TEST((late.end.get_future().get().outcome == TransferOutcome::NotSent));
   exchange->Respond(200, {}, "whole");
   BOOST_TEST(observer.end.get_future().get().status == 200);
   BOOST_TEST(observer.body == "whole");
 }
 
-BOOST_AUTO_TEST_CASE(CancelledTransferIsSilent)
+BOOST_AUTO_TEST_CASE(CancelledTransferDoesNotCallItsObserver)
 {
   std::promise<HttpExchangePtr> received;
-  Pair pair(
+  ServerAndClient fixture(
     [&](const HttpRequest&, const HttpExchangePtr& aExchange) { received.set_value(aExchange); });
   CollectingObserver observer;
   TransferId transfer = 0;
-  const std::string url = "http://127.0.0.1:" + std::to_string(pair.server.Port());
-  pair.loop.Post([&] { transfer = pair.loop.StartTransfer({ .url = url }, observer); });
+  const std::string url = "http://127.0.0.1:" + std::to_string(fixture.server.Port());
+  fixture.loop.Post([&] { transfer = fixture.loop.StartTransfer({ .url = url }, observer); });
   const HttpExchangePtr exchange = received.get_future().get();
   std::promise<void> cancelled;
-  pair.loop.Post([&] {
-    pair.loop.CancelTransfer(transfer);
-    pair.loop.RunAfter(Milliseconds(20), [&] { cancelled.set_value(); });
+  fixture.loop.Post([&] {
+    fixture.loop.CancelTransfer(transfer);
+    fixture.loop.RunAfter(Milliseconds(20), [&] { cancelled.set_value(); });
   });
   cancelled.get_future().get();
   BOOST_TEST(exchange->IsCallerGone());
   exchange->Respond(200, {}, "late");
-  pair.loop.Stop();
+  fixture.loop.Stop();
   BOOST_TEST(observer.body.empty());
 }
 
--- a/UnitTests/Wire/RawHttpTests.cpp
+++ b/UnitTests/Wire/RawHttpTests.cpp
@@ -11,11 +11,11 @@
 
 namespace {
 
-/// A server that keeps what it got and answers "ok" unless it is told to wait.
-class Keeper
+/// A server that records its requests and responds with "ok" unless `waits` is set.
+class RecordingServer
 {
 public:
-  Keeper()
+  RecordingServer()
     : server({}, [this](HttpRequest aRequest, const HttpExchangePtr& aExchange) {
       const std::lock_guard lock(this->mutex);
       this->requests.push_back(std::move(aRequest));
@@ -29,7 +29,7 @@
     BOOST_TEST(this->server.Start().has_value());
   }
 
-  ~Keeper()
+  ~RecordingServer()
   {
     if (this->exchange != nullptr) {
       this->exchange->AbortStream();
@@ -37,7 +37,7 @@
     this->server.Stop();
   }
 
-  /// The exchange of the first request, once there is one.
+  /// Waits for the first request and returns its exchange.
   HttpExchangePtr Await()
   {
     std::unique_lock lock(this->mutex);
@@ -64,16 +64,16 @@
 
 BOOST_AUTO_TEST_SUITE(RawHttpTests)
 
-BOOST_AUTO_TEST_CASE(KeepsTheTargetAsItWasSent)
+BOOST_AUTO_TEST_CASE(TargetIsNotNormalized)
 {
-  Keeper keeper;
-  RawClient client(keeper.server.Port());
+  RecordingServer recorder;
+  RawClient client(recorder.server.Port());
   client.Send("GET /a%2Fb/../c?x=%41&y HTTP/1.1\r\nHost: h\r\n\r\n");
   BOOST_TEST(client.Read("ok").starts_with("HTTP/1.1 200"));
-  BOOST_TEST(keeper.requests.at(0).target == "/a%2Fb/../c?x=%41&y");
+  BOOST_TEST(recorder.requests.at(0).target == "/a%2Fb/../c?x=%41&y");
 }
 
-BOOST_AUTO_TEST_CASE(RefusesRequestsWhoseEndIsUnclear)
+BOOST_AUTO_TEST_CASE(RejectsRequestsWithAmbiguousFraming)
 {
   for (const char* headers : {
          "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n",
@@ -83,34 +83,34 @@
          "Transfer-Encoding: gzip, chunked\r\n",
          "Content-Length: +5\r\n",
        }) {
-    Keeper keeper;
-    RawClient client(keeper.server.Port());
+    RecordingServer recorder;
+    RawClient client(recorder.server.Port());
     client.Send(std::string("POST / HTTP/1.1\r\nHost: h\r\n") + headers +
                 "\r\n0\r\n\r\nGET /smuggled HTTP/1.1\r\nHost: h\r\n\r\n");
     const std::string answer = client.ReadToEnd();
     BOOST_TEST(answer.find(" 200 ") == std::string::npos);
-    BOOST_TEST(keeper.Count() == 0U);
+    BOOST_TEST(recorder.Count() == 0U);
   }
 }
 
-BOOST_AUTO_TEST_CASE(RefusesAMalformedChunk)
+BOOST_AUTO_TEST_CASE(RejectsAMalformedChunk)
 {
-  Keeper keeper;
-  RawClient client(keeper.server.Port());
+  RecordingServer recorder;
+  RawClient client(recorder.server.Port());
   client.Send(
     "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\nabc\r\n0\r\n\r\n");
   BOOST_TEST(client.ReadToEnd().find(" 200 ") == std::string::npos);
-  BOOST_TEST(keeper.Count() == 0U);
+  BOOST_TEST(recorder.Count() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(SeesACallerGoWhileItsAnswerIsPending)
+BOOST_AUTO_TEST_CASE(DetectsACallerThatDisconnectsWhileItsResponseIsPending)
 {
   for (const bool half : { true, false }) {
-    Keeper keeper;
-    keeper.waits = true;
-    RawClient client(keeper.server.Port());
+    RecordingServer recorder;
+    recorder.waits = true;
+    RawClient client(recorder.server.Port());
     client.Send("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
-    const HttpExchangePtr exchange = keeper.Await();
+    const HttpExchangePtr exchange = recorder.Await();
     BOOST_TEST(!exchange->IsCallerGone());
     if (half) {
       client.CloseSendingHalf();
@@ -126,13 +126,13 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(AnAbortedStreamDoesNotLookWhole)
+BOOST_AUTO_TEST_CASE(AnAbortedStreamLacksTheFinalChunk)
 {
-  Keeper keeper;
-  keeper.waits = true;
-  RawClient client(keeper.server.Port());
+  RecordingServer recorder;
+  recorder.waits = true;
+  RawClient client(recorder.server.Port());
   client.Send("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
-  const HttpExchangePtr exchange = keeper.Await();
+  const HttpExchangePtr exchange = recorder.Await();
   exchange->BeginStream(200, {});
   BOOST_TEST(exchange->Write("first"));
   BOOST_TEST(client.Read("first").find("first") != std::string::npos);
@@ -140,11 +140,11 @@
   BOOST_TEST(client.ReadToEnd().find("0\r\n\r\n") == std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(ClosesAfterAnswersWhileStillListening)
+BOOST_AUTO_TEST_CASE(CloseAfterAnswersClosesConnectionsWhileStillListening)
 {
-  Keeper keeper;
-  keeper.server.CloseAfterAnswers();
-  RawClient client(keeper.server.Port());
+  RecordingServer recorder;
+  recorder.server.CloseAfterAnswers();
+  RawClient client(recorder.server.Port());
   client.Send("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
   const std::string answer = client.ReadToEnd();
   BOOST_TEST(answer.starts_with("HTTP/1.1 200"));
