--- a/Lagoonward/Providers/Backoff.cpp
+++ b/Lagoonward/Providers/Backoff.cpp
@@ -6,7 +6,7 @@
 
 Backoff::Backoff(BackoffSettings aSettings, std::uint64_t aSeed)
   : settings(aSettings)
-  , current(aSettings.first)
+  , bound(aSettings.first)
   , random(aSeed)
 {
 }
@@ -14,17 +14,17 @@
 Milliseconds
 Backoff::Next(const Error& aError)
 {
-  const auto most = this->current.count();
-  std::uniform_int_distribution<Milliseconds::rep> draw(most / 2, most);
-  const Milliseconds delay(draw(this->random));
-  this->current = std::min(this->current * 2, this->settings.longest);
+  const auto upper = this->bound.count();
+  std::uniform_int_distribution<Milliseconds::rep> distribution(upper / 2, upper);
+  const Milliseconds delay(distribution(this->random));
+  this->bound = std::min(this->bound * 2, this->settings.longest);
   return std::max(delay, aError.retryAfter.value_or(Milliseconds(0)));
 }
 
 void
 Backoff::Reset()
 {
-  this->current = this->settings.first;
+  this->bound = this->settings.first;
 }
 
 } // namespace lagoonward
--- a/Lagoonward/Providers/Backoff.h
+++ b/Lagoonward/Providers/Backoff.h
@@ -6,30 +6,30 @@
 
 namespace lagoonward {
 
-/// Tunables of a Backoff.
+/// Settings of a Backoff.
 struct BackoffSettings
 {
-  Milliseconds first{ 100 };    ///< Longest delay after the first failure.
-  Milliseconds longest{ 2000 }; ///< Delays double up to this.
+  Milliseconds first{ 100 };    ///< Upper bound of the delay after the first failure.
+  Milliseconds longest{ 2000 }; ///< Limit up to which the bound doubles.
 };
 
-/// Delays between attempts to reach the platform: doubling, with jitter over the upper half, so that
-/// hundreds of daemons do not return from an outage at the same moment. Not thread-safe.
+/// Exponential backoff between attempts to call the platform. The delay is random within the upper half of its bound,
+/// so that hundreds of daemons do not retry at the same moment after an outage. Not thread-safe.
 class Backoff
 {
 public:
   Backoff(BackoffSettings aSettings, std::uint64_t aSeed);
 
-  /// Notes a failure.
-  /// @return how long to wait; at least what the platform asked for
+  /// Records a failure.
+  /// @return the delay before the next attempt; at least the platform's `retryAfter`
   [[nodiscard]] Milliseconds Next(const Error& aError);
 
-  /// Notes a success.
+  /// Records a success: the next delay starts from `first` again.
   void Reset();
 
 private:
   BackoffSettings settings;
-  Milliseconds current; ///< Longest delay after the next failure.
+  Milliseconds bound; ///< Upper bound of the delay after the next failure.
   std::mt19937_64 random;
 };
 
--- a/Lagoonward/Providers/HttpCloudService.cpp
+++ b/Lagoonward/Providers/HttpCloudService.cpp
@@ -12,7 +12,7 @@
 constexpr int kNotFound = 404;
 constexpr int kGone = 410;
 
-/// What the cloud answers when it has no such machine; nothing was started.
+/// Error kind with which the cloud responds when it has no such machine. No host was started then.
 constexpr const char* kNoCapacity = "no_capacity";
 
 constexpr NumberRange kPriceRange{ 0, 1e6 };
@@ -38,7 +38,7 @@
   notice.at = FromUnixMilliseconds(aReader.ReadInteger("at_ms", kPlatformIntegers));
   notice.grace = Milliseconds(aReader.ReadInteger("grace_ms", kPlatformIntegers));
   if (notice.host.empty() && notice.failureDomain.empty()) {
-    aReader.Fault("host", "neither a host nor a failure domain is named");
+    aReader.Fault("host", "expected a host or a failure domain, got neither");
   }
   return notice;
 }
@@ -70,15 +70,17 @@
   call.path = "/hosts";
   call.body = WriteHostRequest(aRequest);
   call.refusal = kNoCapacity;
-  const auto answer = this->client.Call(call);
-  if (!answer) {
-    return answer.error();
+  const auto response = this->client.Call(call);
+  if (!response) {
+    return response.error();
   }
-  if (answer.value().status >= kFirstClientError) {
-    return Error(ErrorKind::Overloaded, fmt::format("the cloud refused to start a host: status {}",
-                                                    answer.value().status));
+  if (response.value().status >= kFirstClientError) {
+    return Error(
+      ErrorKind::Overloaded,
+      fmt::format("the cloud refused to start the host: status {}", response.value().status));
   }
-  return DecodeAnswer(answer.value(), [](JsonReader& aReader) { return aReader.ReadString("id"); });
+  return DecodeAnswer(response.value(),
+                      [](JsonReader& aReader) { return aReader.ReadString("id"); });
 }
 
 Result<void>
@@ -87,14 +89,14 @@
   PlatformCall call;
   call.method = "DELETE";
   call.path = "/hosts/" + EscapePath(aId);
-  const auto answer = this->client.Call(call);
-  if (!answer) {
-    return answer.error();
+  const auto response = this->client.Call(call);
+  if (!response) {
+    return response.error();
   }
-  const int status = answer.value().status;
+  const int status = response.value().status;
   if (status >= kFirstClientError && status != kNotFound && status != kGone) {
     return Error(ErrorKind::InvalidRequest,
-                 fmt::format("the cloud refused to stop a host: status {}", status));
+                 fmt::format("the cloud refused to stop the host: status {}", status));
   }
   return boost::outcome_v2::success();
 }
@@ -104,11 +106,11 @@
 {
   PlatformCall call;
   call.path = "/prices";
-  const auto answer = this->client.Call(call);
-  if (!answer) {
-    return answer.error();
+  const auto response = this->client.Call(call);
+  if (!response) {
+    return response.error();
   }
-  return DecodeList(answer.value(), "price", kLog, ReadPrice);
+  return DecodeList(response.value(), "price", kLog, ReadPrice);
 }
 
 Result<NoticePage>
@@ -117,11 +119,11 @@
   PlatformCall call;
   call.path = fmt::format("/notices?from={}&wait_ms={}", aFrom, aWait.count());
   call.wait = aWait;
-  const auto answer = this->client.Call(call);
-  if (!answer) {
-    return answer.error();
+  const auto response = this->client.Call(call);
+  if (!response) {
+    return response.error();
   }
-  return DecodeAnswer(answer.value(), [](JsonReader& aReader) {
+  return DecodeAnswer(response.value(), [](JsonReader& aReader) {
     NoticePage page;
     page.start = aReader.ReadInteger("start", kPlatformIntegers);
     page.end = aReader.ReadInteger("end", kPlatformIntegers);
--- a/Lagoonward/Providers/HttpCloudService.h
+++ b/Lagoonward/Providers/HttpCloudService.h
@@ -5,10 +5,10 @@
 
 namespace lagoonward {
 
-/// The cloud's interface over HTTP: `POST /hosts`, `DELETE /hosts/{id}`, `GET /prices`,
-/// `GET /notices`. A host that the cloud refuses to start (503 `no_capacity`, any 4xx but 408 and
-/// 429) is Overloaded; a call without an answer is PlatformUnavailable and may have started the host, so repeat it with
-/// the same token. Safe from any thread.
+/// Implements CloudService over HTTP: `POST /hosts`, `DELETE /hosts/{id}`, `GET /prices`, `GET /notices`.
+/// StartHost() returns Overloaded when the cloud refuses to start the host (503 `no_capacity`, any 4xx except 408 and
+/// 429), and PlatformUnavailable when the call got no response. The host may have been started then, so the call has to
+/// be retried with the same token. Thread-safe.
 class HttpCloudService final : public CloudService
 {
 public:
@@ -16,14 +16,14 @@
 
   [[nodiscard]] Result<std::string> StartHost(const HostRequest& aRequest) override;
 
-  /// A host that is not there any more counts as stopped.
+  /// Succeeds also when the host no longer exists.
   [[nodiscard]] Result<void> StopHost(std::string_view aId) override;
 
-  /// Malformed prices and notices are logged and left out.
+  /// Malformed prices and notices are logged and skipped.
   [[nodiscard]] Result<std::vector<Price>> Prices() override;
   [[nodiscard]] Result<NoticePage> Notices(Offset aFrom, Milliseconds aWait) override;
 
-  /// Makes calls in progress, and all later ones, fail soon.
+  /// Makes calls in progress and all later calls fail soon. Thread-safe.
   void Interrupt();
 
 private:
--- a/Lagoonward/Providers/HttpHostListService.cpp
+++ b/Lagoonward/Providers/HttpHostListService.cpp
@@ -20,7 +20,7 @@
     return HostEntry::Kind::Service;
   }
   if (kind != "engine") {
-    aReader.Fault("kind", "not daemon, engine or service");
+    aReader.Fault("kind", "must be daemon, engine or service");
   }
   return HostEntry::Kind::Engine;
 }
@@ -30,7 +30,7 @@
 {
   const std::string state = aReader.ReadString("state");
   if (state != "live" && state != "leaving") {
-    aReader.Fault("state", "not live or leaving");
+    aReader.Fault("state", "must be live or leaving");
   }
   return state == "leaving";
 }
@@ -49,7 +49,7 @@
   entry.name = aReader.ReadOptionalString("name");
   entry.leaving = ReadLeaving(aReader);
   if (entry.id.empty() || entry.address.empty()) {
-    aReader.Fault("", "without an id or an address");
+    aReader.Fault("", "must have an id and an address");
   }
   return entry;
 }
@@ -66,11 +66,11 @@
 {
   PlatformCall call;
   call.path = "/hosts";
-  const auto answer = this->client.Call(call);
-  if (!answer) {
-    return answer.error();
+  const auto response = this->client.Call(call);
+  if (!response) {
+    return response.error();
   }
-  return DecodeList(answer.value(), "host entry", kLog, ReadHost);
+  return DecodeList(response.value(), "host entry", kLog, ReadHost);
 }
 
 void
--- a/Lagoonward/Providers/HttpHostListService.h
+++ b/Lagoonward/Providers/HttpHostListService.h
@@ -5,8 +5,8 @@
 
 namespace lagoonward {
 
-/// The platform's host list over HTTP: `GET /hosts`. A malformed entry is logged and left out, so
-/// that it hides none of the others. Safe from any thread.
+/// Implements HostListService over HTTP: `GET /hosts`. A malformed entry is logged and skipped, so that the other
+/// entries remain usable. Thread-safe.
 class HttpHostListService final : public HostListService
 {
 public:
@@ -14,7 +14,7 @@
 
   [[nodiscard]] Result<std::vector<HostEntry>> Hosts() override;
 
-  /// Makes calls in progress, and all later ones, fail soon.
+  /// Makes calls in progress and all later calls fail soon. Thread-safe.
   void Interrupt();
 
 private:
--- a/Lagoonward/Providers/HttpLogService.cpp
+++ b/Lagoonward/Providers/HttpLogService.cpp
@@ -14,7 +14,7 @@
   return "/streams/" + EscapePath(aStream, true);
 }
 
-/// Reads a page and checks that its offsets are those asked for, in order.
+/// Decodes a page and checks that its offsets increase and lie within the requested range.
 LogPage
 ReadPage(JsonReader& aReader, Offset aFrom)
 {
@@ -27,12 +27,14 @@
     record.data = aItem.ReadString("data");
     return record;
   });
-  Offset lowest = std::max(aFrom, page.start);
+  Offset minimum = std::max(aFrom, page.start);
   for (const LogRecord& record : page.records) {
-    if (record.offset < lowest || record.offset >= page.end) {
-      aReader.Fault("records", fmt::format("offset {} is out of order", record.offset));
+    if (record.offset < minimum || record.offset >= page.end) {
+      aReader.Fault(
+        "records",
+        fmt::format("offset {} is out of order or outside the requested range", record.offset));
     }
-    lowest = record.offset + 1;
+    minimum = record.offset + 1;
   }
   return page;
 }
@@ -51,11 +53,11 @@
   call.method = "POST";
   call.path = StreamPath(aStream);
   call.body = aRecord;
-  const auto answer = this->client.Call(call);
-  if (!answer) {
-    return answer.error();
+  const auto response = this->client.Call(call);
+  if (!response) {
+    return response.error();
   }
-  return DecodeAnswer(answer.value(), [](JsonReader& aReader) {
+  return DecodeAnswer(response.value(), [](JsonReader& aReader) {
     return Offset{ aReader.ReadInteger("offset", kPlatformIntegers) };
   });
 }
@@ -67,11 +69,11 @@
   call.path = fmt::format("{}?from={}&limit={}&wait_ms={}", StreamPath(aStream), aFrom, aLimit,
                           aWait.count());
   call.wait = aWait;
-  const auto answer = this->client.Call(call);
-  if (!answer) {
-    return answer.error();
+  const auto response = this->client.Call(call);
+  if (!response) {
+    return response.error();
   }
-  return DecodeAnswer(answer.value(),
+  return DecodeAnswer(response.value(),
                       [aFrom](JsonReader& aReader) { return ReadPage(aReader, aFrom); });
 }
 
--- a/Lagoonward/Providers/HttpLogService.h
+++ b/Lagoonward/Providers/HttpLogService.h
@@ -5,8 +5,7 @@
 
 namespace lagoonward {
 
-/// The platform's log over HTTP: `POST /streams/{name}` and `GET /streams/{name}?from&limit&wait_ms`.
-/// Safe from any thread.
+/// Implements LogService over HTTP: `POST /streams/{name}` and `GET /streams/{name}?from&limit&wait_ms`. Thread-safe.
 class HttpLogService final : public LogService
 {
 public:
--- a/Lagoonward/Providers/HttpWeightStore.cpp
+++ b/Lagoonward/Providers/HttpWeightStore.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-constexpr int kFirstRefusal = 300;
+constexpr int kFirstFailureStatus = 300;
 
 } // namespace
 
@@ -19,13 +19,13 @@
   PlatformCall call;
   call.path = "/weights/" + EscapePath(aModel) + "/" + EscapePath(aVersion);
   call.discardsBody = true;
-  const auto answer = this->client.Call(call);
-  if (!answer) {
-    return answer.error();
+  const auto response = this->client.Call(call);
+  if (!response) {
+    return response.error();
   }
-  if (answer.value().status >= kFirstRefusal) {
-    return Error(ErrorKind::UnknownModel, "the weight store has no such weights: status " +
-                                            std::to_string(answer.value().status));
+  if (response.value().status >= kFirstFailureStatus) {
+    return Error(ErrorKind::UnknownModel, "the weight store does not have these weights: status " +
+                                            std::to_string(response.value().status));
   }
   return boost::outcome_v2::success();
 }
--- a/Lagoonward/Providers/HttpWeightStore.h
+++ b/Lagoonward/Providers/HttpWeightStore.h
@@ -5,8 +5,8 @@
 
 namespace lagoonward {
 
-/// The platform's weight store over HTTP: `GET /weights/{model}/{version}`, ended as soon as the
-/// status is known. Safe from any thread.
+/// Implements WeightStore over HTTP: `GET /weights/{model}/{version}`, aborted as soon as the status is received.
+/// Thread-safe.
 class HttpWeightStore final : public WeightStore
 {
 public:
@@ -14,7 +14,7 @@
 
   [[nodiscard]] Result<void> Check(std::string_view aModel, std::string_view aVersion) override;
 
-  /// Makes calls in progress, and all later ones, fail soon.
+  /// Makes calls in progress and all later calls fail soon. Thread-safe.
   void Interrupt();
 
 private:
--- a/Lagoonward/Providers/LoadPoller.cpp
+++ b/Lagoonward/Providers/LoadPoller.cpp
@@ -28,11 +28,11 @@
 
 } // namespace
 
-/// One reading in progress. Lives until the transfer's end.
-class LoadPoller::Reading final : public HttpTransferObserver
+/// One load request in progress. Deletes itself when its transfer ends.
+class LoadPoller::LoadRequest final : public HttpTransferObserver
 {
 public:
-  Reading(std::size_t aMaximumBytes, Done aDone)
+  LoadRequest(std::size_t aMaximumBytes, Done aDone)
     : maximumBytes(aMaximumBytes)
     , done(std::move(aDone))
   {
@@ -48,10 +48,11 @@
 
   void OnEnd(const TransferEnd& aEnd) override
   {
-    const std::unique_ptr<Reading> self(this);
+    const std::unique_ptr<LoadRequest> self(this);
     if (aEnd.outcome != TransferOutcome::Complete || aEnd.status != kStatusOk || this->tooLarge) {
-      this->done(Error(ErrorKind::EndpointFailed,
-                       fmt::format("No load: status {}, {}.", aEnd.status, aEnd.message)));
+      this->done(
+        Error(ErrorKind::EndpointFailed,
+              fmt::format("The load request failed: status {}, {}.", aEnd.status, aEnd.message)));
       return;
     }
     this->done(Decode(this->body));
@@ -89,9 +90,9 @@
   request.url = fmt::format("http://{}:{}/v1/load", aEndpoint.address, aEndpoint.port);
   request.timeout = this->settings.timeout;
   this->loop.Post([this, request = std::move(request), done = std::move(aDone)] {
-    auto reading = std::make_unique<Reading>(this->settings.maximumBytes, done);
-    // Frees itself at the transfer's end
-    this->loop.StartTransfer(request, *reading.release());
+    auto loadRequest = std::make_unique<LoadRequest>(this->settings.maximumBytes, done);
+    // The request deletes itself when the transfer ends
+    this->loop.StartTransfer(request, *loadRequest.release());
   });
 }
 
@@ -112,7 +113,8 @@
     load.asOf = FromUnixMilliseconds(body.at("as_of_ms").get<std::int64_t>());
     return load;
   } catch (const Json::exception& error) {
-    return Error(ErrorKind::EndpointFailed, fmt::format("The load is malformed: {}", error.what()));
+    return Error(ErrorKind::EndpointFailed,
+                 fmt::format("The load response is malformed: {}", error.what()));
   }
 }
 
--- a/Lagoonward/Providers/LoadPoller.h
+++ b/Lagoonward/Providers/LoadPoller.h
@@ -10,14 +10,14 @@
 
 namespace lagoonward {
 
-/// Tunables of reading the engines' loads.
+/// Settings of a LoadPoller.
 struct LoadPollerSettings
 {
-  Milliseconds timeout{ 800 };            ///< Longest wait for one reading.
-  std::size_t maximumBytes = 256U << 10U; ///< Largest reading.
+  Milliseconds timeout{ 800 };            ///< Timeout of one load request.
+  std::size_t maximumBytes = 256U << 10U; ///< Maximum size of one response body.
 };
 
-/// Reads `GET /v1/load` of model engines, without blocking, on a traffic loop of its own.
+/// Requests `GET /v1/load` from model engines asynchronously, on its own traffic loop.
 class LoadPoller
 {
 public:
@@ -25,19 +25,19 @@
 
   LoadPoller(const LoadPollerSettings& aSettings, const Clock& aClock);
 
-  /// Starts and ends the thread.
+  /// Starts and stops the thread.
   void Start();
   void Stop();
 
-  /// Reads one engine's load. Safe from any thread; aDone is called once, on this poller's thread,
-  /// unless the poller is stopped first. Errors: EndpointFailed.
+  /// Requests one engine's load. Thread-safe. aDone is called once, on this poller's thread, unless the poller is
+  /// stopped before. Errors: EndpointFailed.
   void Poll(const HostEntry& aEndpoint, Done aDone);
 
   /// Decodes the body of `/v1/load`. Errors: EndpointFailed.
   [[nodiscard]] static Result<EndpointLoad> Decode(std::string_view aBody);
 
 private:
-  class Reading;
+  class LoadRequest;
 
   LoadPollerSettings settings;
   TrafficLoop loop;
--- a/Lagoonward/Providers/PlatformDecoder.h
+++ b/Lagoonward/Providers/PlatformDecoder.h
@@ -7,12 +7,12 @@
 
 namespace lagoonward {
 
-/// Largest offset, time or span that the platform may name.
+/// Range of the offsets, times and durations that the platform may send; the maximum is 2^53 - 1.
 inline constexpr IntegerRange kPlatformIntegers{ 0, 9'007'199'254'740'991 };
 
-/// Decodes a successful answer with aRead(JsonReader&). Members beyond those read are allowed, as
-/// the platform may add some; a missing or mistyped one makes the whole answer PlatformUnavailable:
-/// what the call did is then not known.
+/// Decodes a successful response with aRead(JsonReader&). Additional members are allowed, because the platform may add
+/// some. A missing member or one of the wrong type gives PlatformUnavailable for the complete response, because the
+/// effect of the call is then unknown.
 template<typename Read>
 auto
 DecodeAnswer(const PlatformAnswer& aAnswer, Read aRead)
@@ -33,11 +33,11 @@
     }
   }
   return Error(ErrorKind::PlatformUnavailable,
-               "the platform's answer is malformed: " + DescribeFaults(faults));
+               "the platform's response is malformed: " + DescribeFaults(faults));
 }
 
-/// Decodes the objects of an array one by one with aRead(JsonReader&). A faulty one is logged and
-/// left out, so that it hides none of the others.
+/// Decodes each object of an array with aRead(JsonReader&). A malformed object is logged and skipped, so that the
+/// others remain usable.
 template<typename Read>
 auto
 DecodeEntries(const nlohmann::json& aArray, std::string_view aWhat, const Log& aLog, Read aRead)
@@ -50,13 +50,13 @@
     if (faults.empty()) {
       entries.push_back(std::move(entry));
     } else {
-      aLog.Warning("left out a malformed {}: {}.", aWhat, DescribeFaults(faults));
+      aLog.Warning("skipped a malformed {}: {}.", aWhat, DescribeFaults(faults));
     }
   }
   return entries;
 }
 
-/// Decodes a body that is an array of objects, entry by entry as DecodeEntries().
+/// Decodes a body that is an array of objects with DecodeEntries().
 template<typename Read>
 auto
 DecodeList(const PlatformAnswer& aAnswer, std::string_view aWhat, const Log& aLog, Read aRead)
@@ -66,7 +66,7 @@
   const auto value = ParseStrictJson(aAnswer.body, faults);
   if (aAnswer.status >= 300 || !value || !value->is_array()) {
     return Error(ErrorKind::PlatformUnavailable,
-                 "the platform's answer is not a list; status " + std::to_string(aAnswer.status));
+                 "the platform's response is not a list; status " + std::to_string(aAnswer.status));
   }
   return DecodeEntries(*value, aWhat, aLog, aRead);
 }
--- a/Lagoonward/Providers/PlatformHttpClient.cpp
+++ b/Lagoonward/Providers/PlatformHttpClient.cpp
@@ -17,13 +17,13 @@
 constexpr long kFirstServerError = 500;
 constexpr long kUnavailable = 503;
 
-/// Pause before, and between, probes of a connection that carries nothing.
+/// Idle time before the first TCP keep-alive probe, and interval between probes.
 constexpr long kKeepAliveSeconds = 1;
 
-/// Unanswered for so long, a connection counts as lost: two probes.
-constexpr unsigned kSilenceMilliseconds = 2000;
+/// A connection without acknowledgements for this long is treated as lost. Covers two probes.
+constexpr unsigned kUnacknowledgedTimeoutMilliseconds = 2000;
 
-/// What the library's callbacks of one call need.
+/// State of one call that libcurl's callbacks use.
 struct Transfer
 {
   std::string body;
@@ -56,9 +56,9 @@
   return static_cast<Transfer*>(aTransfer)->interrupted->load() ? 1 : 0;
 }
 
-/// Whether a body is `{"error":{"kind":…}}` of that kind.
+/// Returns whether a body is `{"error":{"kind":…}}` with the given kind.
 bool
-NamesError(const std::string& aBody, const std::string& aKind)
+HasErrorKind(const std::string& aBody, const std::string& aKind)
 {
   const auto body = nlohmann::json::parse(aBody, nullptr, false);
   if (aKind.empty() || !body.is_object() || !body.contains("error")) {
@@ -68,17 +68,17 @@
   return error.is_object() && error.contains("kind") && error["kind"] == aKind;
 }
 
-/// A connection that something between the two ends has lost track of ends by itself, so that a call
-/// that may wait for long is not waited for in vain.
+/// Sets TCP_USER_TIMEOUT. A connection whose state an intermediary has dropped then fails early, instead of only after
+/// the long timeout of a call that waits for new data.
 int
-LimitSilence(void* /*aContext*/, curl_socket_t aSocket, curlsocktype /*aPurpose*/)
+SetUnacknowledgedTimeout(void* /*aContext*/, curl_socket_t aSocket, curlsocktype /*aPurpose*/)
 {
-  setsockopt(aSocket, IPPROTO_TCP, TCP_USER_TIMEOUT, &kSilenceMilliseconds,
-             sizeof(kSilenceMilliseconds));
+  setsockopt(aSocket, IPPROTO_TCP, TCP_USER_TIMEOUT, &kUnacknowledgedTimeoutMilliseconds,
+             sizeof(kUnacknowledgedTimeoutMilliseconds));
   return CURL_SOCKOPT_OK;
 }
 
-/// Initializes the library once per process.
+/// Initializes libcurl once per process.
 void
 InitializeLibrary()
 {
@@ -99,7 +99,7 @@
   curl_easy_setopt(aHandle, CURLOPT_TCP_KEEPALIVE, 1L);
   curl_easy_setopt(aHandle, CURLOPT_TCP_KEEPIDLE, kKeepAliveSeconds);
   curl_easy_setopt(aHandle, CURLOPT_TCP_KEEPINTVL, kKeepAliveSeconds);
-  curl_easy_setopt(aHandle, CURLOPT_SOCKOPTFUNCTION, &LimitSilence);
+  curl_easy_setopt(aHandle, CURLOPT_SOCKOPTFUNCTION, &SetUnacknowledgedTimeout);
   curl_easy_setopt(aHandle, CURLOPT_SOCKOPTDATA, nullptr);
   curl_easy_setopt(aHandle, CURLOPT_MAXAGE_CONN,
                    static_cast<long>(aSettings.maxConnectionAge.count()));
@@ -127,7 +127,7 @@
 };
 using HeaderList = std::unique_ptr<curl_slist, HeaderListDeleter>;
 
-/// Names the body's type and leaves out the round trip of `Expect: 100-continue`.
+/// Sets the content type and disables the round trip of `Expect: 100-continue`.
 HeaderList
 MakeHeaders(const PlatformCall& aCall)
 {
@@ -159,12 +159,12 @@
   if (this->interrupted) {
     return Error(ErrorKind::PlatformUnavailable, "stopping");
   }
-  Handle handle = this->TakeHandle();
+  Handle handle = this->AcquireHandle();
   if (handle == nullptr) {
-    return Error(ErrorKind::PlatformUnavailable, "no memory for a transfer");
+    return Error(ErrorKind::PlatformUnavailable, "failed to create a libcurl handle");
   }
 
-  // Make the call
+  // Perform the call
   const std::string url = this->baseUrl + aCall.path;
   const HeaderList headers = MakeHeaders(aCall);
   Transfer transfer;
@@ -178,23 +178,23 @@
   curl_easy_setopt(handle.get(), CURLOPT_HTTPHEADER, headers.get());
   const CURLcode code = curl_easy_perform(handle.get());
 
-  // Judge the outcome
+  // Evaluate the result
   long status = 0;
   curl_easy_getinfo(handle.get(), CURLINFO_RESPONSE_CODE, &status);
-  const bool cutByUs = transfer.discardsBody && code == CURLE_WRITE_ERROR;
-  if (code != CURLE_OK && !cutByUs) {
-    this->DropIdleHandles();
-    const char* reason = transfer.tooLong ? "the answer is too long" : curl_easy_strerror(code);
-    return this->Unavailable(reason, nullptr);
+  const bool isIntendedAbort = transfer.discardsBody && code == CURLE_WRITE_ERROR;
+  if (code != CURLE_OK && !isIntendedAbort) {
+    this->CloseIdleHandles();
+    const char* reason = transfer.tooLong ? "the response is too long" : curl_easy_strerror(code);
+    return this->MakeUnavailableError(reason, nullptr);
   }
-  const bool outage =
+  const bool isUnavailable =
     status == kTooManyRequests || status == kRequestTimeout || status >= kFirstServerError;
-  if (outage && !(status == kUnavailable && NamesError(transfer.body, aCall.refusal))) {
-    const Error error = this->Unavailable(fmt::format("status {}", status), handle.get());
-    this->ReturnHandle(std::move(handle));
+  if (isUnavailable && !(status == kUnavailable && HasErrorKind(transfer.body, aCall.refusal))) {
+    const Error error = this->MakeUnavailableError(fmt::format("status {}", status), handle.get());
+    this->ReleaseHandle(std::move(handle));
     return error;
   }
-  this->ReturnHandle(std::move(handle));
+  this->ReleaseHandle(std::move(handle));
   return PlatformAnswer{ static_cast<int>(status), std::move(transfer.body) };
 }
 
@@ -205,7 +205,7 @@
 }
 
 PlatformHttpClient::Handle
-PlatformHttpClient::TakeHandle()
+PlatformHttpClient::AcquireHandle()
 {
   const std::lock_guard lock(this->mutex);
   if (this->idle.empty()) {
@@ -217,7 +217,7 @@
 }
 
 void
-PlatformHttpClient::ReturnHandle(Handle aHandle)
+PlatformHttpClient::ReleaseHandle(Handle aHandle)
 {
   const std::lock_guard lock(this->mutex);
   if (this->idle.size() < this->settings.maxIdleHandles) {
@@ -226,14 +226,14 @@
 }
 
 void
-PlatformHttpClient::DropIdleHandles()
+PlatformHttpClient::CloseIdleHandles()
 {
   const std::lock_guard lock(this->mutex);
   this->idle.clear();
 }
 
 Error
-PlatformHttpClient::Unavailable(const std::string& aReason, CURL* aHandle) const
+PlatformHttpClient::MakeUnavailableError(const std::string& aReason, CURL* aHandle) const
 {
   curl_off_t seconds = 0;
   if (aHandle != nullptr) {
@@ -241,7 +241,7 @@
   }
   const Milliseconds delay =
     seconds > 0 ? Milliseconds(Seconds(seconds)) : this->settings.retryAfter;
-  return Error(ErrorKind::PlatformUnavailable, "the platform did not serve the call: " + aReason)
+  return Error(ErrorKind::PlatformUnavailable, "the call to the platform failed: " + aReason)
     .WithRetryAfter(delay);
 }
 
@@ -251,9 +251,10 @@
   std::string escaped;
   for (const char character : aText) {
     const auto byte = static_cast<unsigned char>(character);
-    const bool isPlain = byte < 0x80 && std::isalnum(byte) != 0;
-    const bool isMark = std::string_view("-._~").find(character) != std::string_view::npos;
-    if (isPlain || isMark || (aKeepSlash && character == '/')) {
+    const bool isAlphanumeric = byte < 0x80 && std::isalnum(byte) != 0;
+    const bool isUnreservedMark =
+      std::string_view("-._~").find(character) != std::string_view::npos;
+    if (isAlphanumeric || isUnreservedMark || (aKeepSlash && character == '/')) {
       escaped += character;
     } else {
       escaped += fmt::format("%{:02X}", byte);
--- a/Lagoonward/Providers/PlatformHttpClient.h
+++ b/Lagoonward/Providers/PlatformHttpClient.h
@@ -14,28 +14,28 @@
 
 namespace lagoonward {
 
-/// One call of a platform's service.
+/// One call to a service of the platform.
 struct PlatformCall
 {
   std::string method = "GET";
-  std::string path;                 ///< Behind the base URL, already escaped, with its query.
-  std::string body;                 ///< Sent with POST only.
-  std::vector<std::string> headers; ///< Further header lines, `Name: value`.
-  Milliseconds wait{ 0 };           ///< How long the service itself may hold the answer back.
-  bool discardsBody = false;        ///< Ends the call once the status is known.
-  std::string refusal; ///< Error kind that is the service's answer under 503 too; may be empty.
+  std::string path;                 ///< Appended to the base URL; escaped, with its query.
+  std::string body;                 ///< Sent only with POST.
+  std::vector<std::string> headers; ///< Additional header lines, `Name: value`.
+  Milliseconds wait{ 0 };           ///< Time for which the service may delay its response.
+  bool discardsBody = false;        ///< Aborts the call once the status is received.
+  std::string refusal; ///< Error kind that is a valid response also with status 503; may be empty.
 };
 
-/// What the service answered.
+/// The response of the service.
 struct PlatformAnswer
 {
   int status = 0;
   std::string body;
 };
 
-/// Blocking HTTP client for one base URL. Reuses connections; once a call goes unanswered, all idle
-/// ones are closed, as something between the two ends may have lost track of them. Safe from any
-/// thread; calls do not wait for each other.
+/// Blocking HTTP client for one base URL. Reuses connections. When a call gets no response, all idle connections are
+/// closed, because an intermediary may have dropped their state. Thread-safe; calls run
+/// concurrently.
 class PlatformHttpClient
 {
 public:
@@ -44,12 +44,12 @@
   PlatformHttpClient(const PlatformHttpClient&) = delete;
   PlatformHttpClient& operator=(const PlatformHttpClient&) = delete;
 
-  /// @return the answer, whatever its status, except that 408, 429, 5xx (unless its error kind is the
-  ///         call's `refusal`), silence and answers that are too long become PlatformUnavailable, with
-  ///         `retryAfter`. Such a call may still have taken effect.
+  /// @return the response with any status, except that 408, 429, 5xx (unless its error kind is the call's
+  ///         `refusal`), timeouts and responses that are too long give PlatformUnavailable with `retryAfter`.
+  ///         Such a call may still have taken effect.
   [[nodiscard]] Result<PlatformAnswer> Call(const PlatformCall& aCall);
 
-  /// Makes calls in progress, and all later ones, fail within about a second.
+  /// Makes calls in progress and all later calls fail within about a second.
   void Interrupt();
 
 private:
@@ -59,19 +59,19 @@
   };
   using Handle = std::unique_ptr<CURL, HandleDeleter>;
 
-  [[nodiscard]] Handle TakeHandle();
-  void ReturnHandle(Handle aHandle);
-  void DropIdleHandles();
-  [[nodiscard]] Error Unavailable(const std::string& aReason, CURL* aHandle) const;
+  [[nodiscard]] Handle AcquireHandle();
+  void ReleaseHandle(Handle aHandle);
+  void CloseIdleHandles();
+  [[nodiscard]] Error MakeUnavailableError(const std::string& aReason, CURL* aHandle) const;
 
   std::string baseUrl;
   PlatformSettings settings;
   std::atomic<bool> interrupted{ false };
   std::mutex mutex;         ///< Guards `idle`.
-  std::vector<Handle> idle; ///< Handles that no call uses, with their open connections.
+  std::vector<Handle> idle; ///< Handles that are not in use, with their open connections.
 };
 
-/// Escapes one part of a path; `/` stays when aKeepSlash.
+/// Percent-encodes a path segment. `/` is not encoded if aKeepSlash.
 [[nodiscard]] std::string
 EscapePath(std::string_view aText, bool aKeepSlash = false);
 
--- a/Lagoonward/Providers/PlatformInterfaces.h
+++ b/Lagoonward/Providers/PlatformInterfaces.h
@@ -17,17 +17,16 @@
   std::string data;
 };
 
-/// Part of a log stream.
+/// A range of records of a log stream.
 struct LogPage
 {
-  Offset start = 0; ///< Oldest offset that is still kept.
-  Offset end = 0;   ///< Offset that the next record will get.
+  Offset start = 0; ///< Oldest offset that is retained.
+  Offset end = 0;   ///< Offset of the next record to be appended.
   std::vector<LogRecord> records;
 };
 
-/// The platform's append-only log. All calls block, up to the adapter's timeout; never called from
-/// the control thread or a traffic thread. Any call may fail with PlatformUnavailable, and a failed
-/// append may still have taken effect.
+/// The platform's append-only log. All calls block, up to the adapter's timeout, and must not be made on the control
+/// thread or a traffic thread. Any call may fail with PlatformUnavailable; a failed append may still have taken effect.
 class LogService
 {
 public:
@@ -38,24 +37,24 @@
   [[nodiscard]] virtual Result<Offset> Append(std::string_view aStream,
                                               std::string_view aRecord) = 0;
 
-  /// Reads up to aLimit records from aFrom on, waiting up to aWait for the first.
+  /// Reads up to aLimit records starting at aFrom. Waits up to aWait for the first record.
   [[nodiscard]] virtual Result<LogPage> Read(std::string_view aStream, Offset aFrom, int aLimit,
                                              Milliseconds aWait) = 0;
 
-  /// Makes calls in progress, and all later ones, fail soon. For stopping; safe from any thread.
+  /// Makes calls in progress and all later calls fail soon. Used for stopping. Thread-safe.
   virtual void Interrupt() {}
 };
 
-/// One reclaim notice of the cloud.
+/// A notice of the cloud that it reclaims a host or a failure domain.
 struct ReclaimNotice
 {
-  std::string host; ///< Empty when the whole failure domain goes.
+  std::string host; ///< Empty if the complete failure domain is reclaimed.
   std::string failureDomain;
-  WallTime at;             ///< When the notice was given.
-  Milliseconds grace{ 0 }; ///< How long the host stays after that.
+  WallTime at;             ///< Time at which the notice was given.
+  Milliseconds grace{ 0 }; ///< Time from the notice until the host is reclaimed.
 };
 
-/// Part of the cloud's list of notices.
+/// A range of the cloud's list of notices.
 struct NoticePage
 {
   Offset start = 0;
@@ -63,7 +62,7 @@
   std::vector<ReclaimNotice> notices;
 };
 
-/// A host to be started. The same token never starts a second one.
+/// A request to start a host. Requests with the same client token start at most one host.
 struct HostRequest
 {
   std::string clientToken;
@@ -73,7 +72,7 @@
   bool reclaimable = true;
 };
 
-/// The cloud's interface for hosts, prices and notices. Blocking, like LogService.
+/// The cloud's interface for hosts, prices and reclaim notices. Calls block as those of LogService.
 class CloudService
 {
 public:
@@ -85,7 +84,7 @@
   [[nodiscard]] virtual Result<NoticePage> Notices(Offset aFrom, Milliseconds aWait) = 0;
 };
 
-/// What the host list says of one host. Seconds old.
+/// An entry of the host list. The data may be several seconds old.
 struct HostEntry
 {
   enum class Kind
@@ -98,7 +97,7 @@
   std::string id;
   Kind kind = Kind::Engine;
   std::string address;
-  std::uint16_t port = 0; ///< For a daemon: its peer port.
+  std::uint16_t port = 0; ///< The peer port, for a daemon.
   std::string failureDomain;
   std::string region;
   std::string machineClass;
@@ -106,7 +105,7 @@
   bool leaving = false;
 };
 
-/// The platform's lagging list of hosts. Blocking, like LogService.
+/// The platform's list of hosts, which lags behind. Calls block as those of LogService.
 class HostListService
 {
 public:
@@ -114,15 +113,15 @@
   [[nodiscard]] virtual Result<std::vector<HostEntry>> Hosts() = 0;
 };
 
-/// The platform's rate-limited store of weights. Blocking, like LogService.
+/// The platform's rate-limited store of model weights. Calls block as those of LogService.
 class WeightStore
 {
 public:
   virtual ~WeightStore() = default;
 
-  /// Asks whether the store hands out these weights now; the weights themselves are not kept.
-  /// @return PlatformUnavailable with `retryAfter` while the store limits its rate, UnknownModel
-  ///         when it has no such weights
+  /// Checks whether the store currently serves these weights. The weights themselves are discarded.
+  /// @return PlatformUnavailable with `retryAfter` while the store limits the rate, UnknownModel if it does not have
+  ///         these weights
   [[nodiscard]] virtual Result<void> Check(std::string_view aModel, std::string_view aVersion) = 0;
 };
 
--- a/Lagoonward/Wire/HttpExchange.cpp
+++ b/Lagoonward/Wire/HttpExchange.cpp
@@ -113,10 +113,10 @@
 }
 
 void
-HttpExchange::OnCallerGone(std::function<void()> aCallback)
+HttpExchange::OnCallerDisconnected(std::function<void()> aCallback)
 {
   const std::scoped_lock lock(this->mutex);
-  this->onCallerGone = std::move(aCallback);
+  this->onCallerDisconnected = std::move(aCallback);
 }
 
 bool
--- a/Lagoonward/Wire/HttpExchange.h
+++ b/Lagoonward/Wire/HttpExchange.h
@@ -61,7 +61,7 @@
 
   /// Sets a callback that is called once if the connection is lost before the response was sent completely. It runs on
   /// a server thread. Must be set before the first call that responds.
-  void OnCallerGone(std::function<void()> aCallback);
+  void OnCallerDisconnected(std::function<void()> aCallback);
 
   /// Polls the socket for whether the caller has closed it, or its sending half. Returns true only when certain.
   /// The server does not read from a connection whose response is pending, so it would not detect the close otherwise.
@@ -91,7 +91,7 @@
   std::vector<HttpHeader> headers;
   std::string bytes;    ///< The body, or the buffered part of the stream.
   std::size_t sent = 0; ///< Number of bytes of `bytes` passed to the server.
-  std::function<void()> onCallerGone;
+  std::function<void()> onCallerDisconnected;
 };
 
 using HttpExchangePtr = std::shared_ptr<HttpExchange>;
--- a/Lagoonward/Wire/HttpServer.cpp
+++ b/Lagoonward/Wire/HttpServer.cpp
@@ -242,16 +242,16 @@
     if (incoming == nullptr) {
       return;
     }
-    std::function<void()> onCallerGone;
+    std::function<void()> callback;
     if (incoming->exchange != nullptr) {
       const std::scoped_lock lock(incoming->exchange->mutex);
       incoming->exchange->state = HttpExchange::State::Done;
       incoming->exchange->connection = nullptr;
       incoming->exchange->suspended = false;
-      std::swap(onCallerGone, incoming->exchange->onCallerGone);
+      std::swap(callback, incoming->exchange->onCallerDisconnected);
     }
-    if (aCode != MHD_REQUEST_TERMINATED_COMPLETED_OK && onCallerGone) {
-      onCallerGone();
+    if (aCode != MHD_REQUEST_TERMINATED_COMPLETED_OK && callback) {
+      callback();
     }
     --static_cast<HttpServer*>(aServer)->openExchanges;
   }
--- a/UnitTests/Providers/HttpServicesTests.cpp
+++ b/UnitTests/Providers/HttpServicesTests.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// A server that gives the same answer to everything and keeps the last request.
+/// A server that responds to every request with the same answer and records the last request.
 struct FixedServer
 {
   explicit FixedServer(FakeAnswer aAnswer)
@@ -32,7 +32,7 @@
 };
 
 PlatformSettings
-QuickSettings()
+ShortTimeoutSettings()
 {
   PlatformSettings settings;
   settings.callTimeout = Milliseconds(200);
@@ -44,7 +44,7 @@
 ReadError(const FakeAnswer& aAnswer)
 {
   FixedServer fixed(aAnswer);
-  HttpLogService log(fixed.server.Url(), QuickSettings());
+  HttpLogService log(fixed.server.Url(), ShortTimeoutSettings());
   return log.Read("s", 3, 10, Milliseconds(0)).error().kind;
 }
 
@@ -52,10 +52,10 @@
 
 BOOST_AUTO_TEST_SUITE(HttpServicesTests)
 
-BOOST_AUTO_TEST_CASE(LogAppendsAndReads)
+BOOST_AUTO_TEST_CASE(LogAppendsAndReadsRecords)
 {
   FixedServer fixed({ 200, R"({"offset":7})", {} });
-  HttpLogService log(fixed.server.Url() + "/", QuickSettings());
+  HttpLogService log(fixed.server.Url() + "/", ShortTimeoutSettings());
   BOOST_TEST(log.Append("config/v 1", "{\"x\":1}").value() == 7);
   BOOST_TEST(fixed.last.method == "POST");
   BOOST_TEST(fixed.last.path == "/streams/config/v 1");
@@ -69,7 +69,7 @@
   BOOST_TEST(fixed.last.query.at("wait_ms") == "5");
 }
 
-BOOST_AUTO_TEST_CASE(MalformedAndOversizedAnswersAreUnavailable)
+BOOST_AUTO_TEST_CASE(MalformedAndOversizedResponsesArePlatformUnavailable)
 {
   for (const char* body :
        { "", "[]", R"({"start":0,"end":9})", R"({"start":0,"end":"9","records":[]})",
@@ -81,19 +81,19 @@
   BOOST_TEST((ReadError({ 404, "", {} }) == ErrorKind::InvalidRequest));
 }
 
-BOOST_AUTO_TEST_CASE(RefusalsSayWhenToComeBack)
+BOOST_AUTO_TEST_CASE(RateLimitAndOutageErrorsHaveRetryAfter)
 {
   FixedServer fixed({ 429, "", { { "Retry-After", "7" } } });
-  HttpLogService log(fixed.server.Url(), QuickSettings());
+  HttpLogService log(fixed.server.Url(), ShortTimeoutSettings());
   const Error limited = log.Append("s", "r").error();
   BOOST_TEST((limited.kind == ErrorKind::PlatformUnavailable));
   BOOST_TEST(limited.retryAfter->count() == 7000);
   fixed.answer = { 503, "", {} };
   BOOST_TEST(log.Append("s", "r").error().retryAfter->count() ==
-             QuickSettings().retryAfter.count());
+             ShortTimeoutSettings().retryAfter.count());
 }
 
-BOOST_AUTO_TEST_CASE(SilenceIsUnavailableAndTheNextCallUsesANewConnection)
+BOOST_AUTO_TEST_CASE(TimeoutIsPlatformUnavailableAndTheNextCallUsesANewConnection)
 {
   std::atomic<int> calls{ 0 };
   FakeHttpServer server([&calls](const FakeRequest&) {
@@ -101,29 +101,29 @@
     answer.silent = calls++ == 1;
     return answer;
   });
-  HttpLogService log(server.Url(), QuickSettings());
+  HttpLogService log(server.Url(), ShortTimeoutSettings());
   BOOST_TEST(log.Append("s", "r").has_value());
   BOOST_TEST((log.Append("s", "r").error().kind == ErrorKind::PlatformUnavailable));
   BOOST_TEST(log.Append("s", "r").has_value());
 }
 
-BOOST_AUTO_TEST_CASE(InterruptEndsAWaitingCall)
+BOOST_AUTO_TEST_CASE(InterruptEndsABlockedCall)
 {
   FakeHttpServer server([](const FakeRequest&) {
     FakeAnswer answer;
     answer.silent = true;
     return answer;
   });
-  HttpLogService log(server.Url(), QuickSettings());
+  HttpLogService log(server.Url(), ShortTimeoutSettings());
   std::thread stopper([&log] { log.Interrupt(); });
   BOOST_TEST(!log.Read("s", 0, 1, Milliseconds(600'000)).has_value());
   stopper.join();
 }
 
-BOOST_AUTO_TEST_CASE(CloudStartsStopsAndPrices)
+BOOST_AUTO_TEST_CASE(CloudCallsDecodeResponsesAndClassifyErrors)
 {
   FixedServer fixed({ 200, R"({"id":"h-1"})", {} });
-  HttpCloudService cloud(fixed.server.Url(), QuickSettings());
+  HttpCloudService cloud(fixed.server.Url(), ShortTimeoutSettings());
   HostRequest request;
   request.clientToken = "t";
   request.machineClass = "a100";
@@ -131,7 +131,7 @@
   BOOST_TEST(nlohmann::json::parse(fixed.last.body).at("kind") == "engine");
   fixed.answer = { 409, "", {} };
   BOOST_TEST((cloud.StartHost(request).error().kind == ErrorKind::Overloaded));
-  // A cloud without capacity has answered; one that is away has not
+  // The error kind no_capacity is a valid response with status 503; any other kind means an outage
   fixed.answer = { 503, R"({"error":{"kind":"no_capacity","message":"none"}})", {} };
   BOOST_TEST((cloud.StartHost(request).error().kind == ErrorKind::Overloaded));
   fixed.answer = { 503, R"({"error":{"kind":"outage"}})", {} };
@@ -153,7 +153,7 @@
   BOOST_TEST(ToUnixMilliseconds(page.notices[0].at) == 5);
 }
 
-BOOST_AUTO_TEST_CASE(HostListLeavesOutMalformedEntries)
+BOOST_AUTO_TEST_CASE(HostListSkipsMalformedEntries)
 {
   FixedServer fixed({ 200,
                       R"([{"id":"e","kind":"engine","address":"127.0.0.1","port":80,
@@ -161,16 +161,16 @@
                           {"id":"x","kind":"engine","address":"127.0.0.1","port":70000,
                            "failure_domain":"f","region":"r","machine_class":"a","state":"live"}])",
                       {} });
-  HttpHostListService list(fixed.server.Url(), QuickSettings());
+  HttpHostListService list(fixed.server.Url(), ShortTimeoutSettings());
   const auto hosts = list.Hosts().value();
   BOOST_TEST(hosts.size() == 1U);
   BOOST_TEST(hosts.at(0).leaving);
 }
 
-BOOST_AUTO_TEST_CASE(WeightStoreTellsLimitFromAbsence)
+BOOST_AUTO_TEST_CASE(WeightStoreDistinguishesRateLimitFromMissingWeights)
 {
   FixedServer fixed({ 200, std::string(100'000, 'w'), {} });
-  HttpWeightStore store(fixed.server.Url(), QuickSettings());
+  HttpWeightStore store(fixed.server.Url(), ShortTimeoutSettings());
   BOOST_TEST(store.Check("permit", "3").has_value());
   fixed.answer = { 404, "", {} };
   BOOST_TEST((store.Check("permit", "3").error().kind == ErrorKind::UnknownModel));
