--- a/Lagoonward/Cli/AdminCommands.cpp
+++ b/Lagoonward/Cli/AdminCommands.cpp
@@ -48,9 +48,9 @@
   return parts;
 }
 
-/// Asks one daemon's operators' interface.
+/// Sends a request to the operators' interface of a daemon.
 Result<PlatformAnswer>
-Ask(const std::string& aUrl, const std::string& aMethod, const std::string& aPath)
+SendRequest(const std::string& aUrl, const std::string& aMethod, const std::string& aPath)
 {
   PlatformHttpClient client(aUrl, {});
   PlatformCall call;
@@ -59,18 +59,20 @@
   return client.Call(call);
 }
 
-/// A JSON body that should be there, or an error.
+/// Requests a JSON object. Errors: those of SendRequest(); Internal if the response is not a JSON object with
+/// status 200.
 Result<Json>
-AskForJson(const std::string& aUrl, const std::string& aPath)
+FetchJson(const std::string& aUrl, const std::string& aPath)
 {
-  const auto answer = Ask(aUrl, "GET", aPath);
-  if (!answer) {
-    return answer.error();
+  const auto response = SendRequest(aUrl, "GET", aPath);
+  if (!response) {
+    return response.error();
   }
-  Json body = Json::parse(answer.value().body, nullptr, false);
-  if (answer.value().status != kStatusOk || !body.is_object()) {
+  Json body = Json::parse(response.value().body, nullptr, false);
+  if (response.value().status != kStatusOk || !body.is_object()) {
     return Error(ErrorKind::Internal,
-                 fmt::format("answered with status {}", answer.value().status));
+                 fmt::format("expected a JSON object with status 200, got status {}",
+                             response.value().status));
   }
   return body;
 }
@@ -107,8 +109,8 @@
   }
 }
 
-/// Reads the options, or prints what is wrong with them or the help.
-/// @return the exit status when the command is over already
+/// Reads the options. Prints the faults of the options, or the help text if it was requested.
+/// @return the exit status if the command ends here
 std::optional<int>
 ReadOptions(CommandOptions& aOptions, std::span<const std::string> aArguments,
             std::string_view aUsage, std::ostream& aOut, std::ostream& aErr)
@@ -117,7 +119,7 @@
     aErr << "usage: " << aUsage << '\n';
     return kExitUsage;
   }
-  if (aOptions.HelpAsked()) {
+  if (aOptions.IsHelpRequested()) {
     aOut << "usage: " << aUsage << '\n' << aOptions.Flags();
     return kExitOk;
   }
@@ -132,18 +134,18 @@
   CommandOptions options("status",
                          DescribeFlags("operators' URLs of the daemons, separated by commas"), {},
                          { "admin-url" });
-  if (const auto over = ReadOptions(options, aArguments,
-                                    "lagoonward status --admin-url URL[,URL...]", aOut, aErr)) {
-    return *over;
+  if (const auto exitStatus = ReadOptions(
+        options, aArguments, "lagoonward status --admin-url URL[,URL...]", aOut, aErr)) {
+    return *exitStatus;
   }
-  bool allAnswered = true;
+  bool allResponded = true;
   Json last;
   std::map<std::string, std::set<std::int64_t>> offsets;
   for (const std::string& url : SplitList(options.Get<std::string>("admin-url"))) {
-    const auto status = AskForJson(url, "/status");
+    const auto status = FetchJson(url, "/status");
     if (!status) {
       aErr << "lagoonward status: " << url << ": " << status.error().message << '\n';
-      allAnswered = false;
+      allResponded = false;
       continue;
     }
     last = status.value();
@@ -158,7 +160,7 @@
   if (!agree) {
     aErr << "lagoonward status: the daemons have different offsets in force\n";
   }
-  return allAnswered && agree ? kExitOk : kExitFailed;
+  return allResponded && agree ? kExitOk : kExitFailed;
 }
 
 int
@@ -166,14 +168,15 @@
 {
   CommandOptions options("drain", DescribeFlags("operators' URL of the daemon"), {},
                          { "admin-url" });
-  if (const auto over =
+  if (const auto exitStatus =
         ReadOptions(options, aArguments, "lagoonward drain --admin-url URL", aOut, aErr)) {
-    return *over;
+    return *exitStatus;
   }
-  const auto answer = Ask(options.Get<std::string>("admin-url"), "POST", "/drain");
-  if (!answer || answer.value().status != kStatusAccepted) {
+  const auto response = SendRequest(options.Get<std::string>("admin-url"), "POST", "/drain");
+  if (!response || response.value().status != kStatusAccepted) {
     aErr << "lagoonward drain: "
-         << (answer ? fmt::format("status {}", answer.value().status) : answer.error().message)
+         << (response ? fmt::format("status {}", response.value().status)
+                      : response.error().message)
          << '\n';
     return kExitFailed;
   }
@@ -187,14 +190,14 @@
   CommandOptions options("explain",
                          DescribeFlags("operators' URLs of the daemons, separated by commas"),
                          { "id" }, { "id", "admin-url" });
-  if (const auto over = ReadOptions(options, aArguments,
-                                    "lagoonward explain ID --admin-url URL[,URL...]", aOut, aErr)) {
-    return *over;
+  if (const auto exitStatus = ReadOptions(
+        options, aArguments, "lagoonward explain ID --admin-url URL[,URL...]", aOut, aErr)) {
+    return *exitStatus;
   }
   bool found = false;
   const std::string path = "/requests/" + EscapePath(options.Get<std::string>("id"));
   for (const std::string& url : SplitList(options.Get<std::string>("admin-url"))) {
-    const auto request = AskForJson(url, path);
+    const auto request = FetchJson(url, path);
     if (!request) {
       continue;
     }
@@ -208,7 +211,7 @@
     }
   }
   if (!found) {
-    aErr << "lagoonward explain: no daemon that was asked remembers this request\n";
+    aErr << "lagoonward explain: none of the given daemons has a record of this request\n";
   }
   return found ? kExitOk : kExitFailed;
 }
--- a/Lagoonward/Cli/CheckCommand.cpp
+++ b/Lagoonward/Cli/CheckCommand.cpp
@@ -13,7 +13,7 @@
 namespace po = boost::program_options;
 
 constexpr int kExitOk = 0;
-constexpr int kExitFaulty = 1;
+constexpr int kExitInvalid = 1;
 constexpr int kExitUsage = 2;
 constexpr std::string_view kUsage = "usage: lagoonward check FILE\n";
 
@@ -50,7 +50,7 @@
   const auto file = values["file"].as<std::string>();
   const auto manifest = LoadManifest(file, aErr);
   if (!manifest) {
-    return kExitFaulty;
+    return kExitInvalid;
   }
   aOut << file << ": valid manifest of market " << manifest->market << '\n';
   return kExitOk;
--- a/Lagoonward/Cli/CheckCommand.h
+++ b/Lagoonward/Cli/CheckCommand.h
@@ -7,8 +7,8 @@
 namespace lagoonward {
 
 /// `lagoonward check FILE`: validates a manifest and prints each fault with its JSON pointer.
-/// @param aArguments  what follows `check`
-/// @return the exit status: 0 valid, 1 faulty or unreadable, 2 wrong usage
+/// @param aArguments  the arguments after `check`
+/// @return the exit status: 0 if the manifest is valid, 1 if it is invalid or unreadable, 2 on wrong usage
 [[nodiscard]] int
 RunCheck(std::span<const std::string> aArguments, std::ostream& aOut, std::ostream& aErr);
 
--- a/Lagoonward/Cli/CommandOptions.cpp
+++ b/Lagoonward/Cli/CommandOptions.cpp
@@ -8,7 +8,7 @@
 
 namespace po = boost::program_options;
 
-/// Long flags only, never abbreviated, so that `--base -1` reads as a flag and its value.
+/// Allows long, unabbreviated flags only, so that `--base -1` is parsed as a flag and its value.
 constexpr int kStyle = po::command_line_style::allow_long |
                        po::command_line_style::long_allow_adjacent |
                        po::command_line_style::long_allow_next;
@@ -32,7 +32,7 @@
 {
   std::vector<std::string> faults;
   this->Parse(aArguments, faults);
-  if (this->HelpAsked()) {
+  if (this->IsHelpRequested()) {
     return true;
   }
   for (const std::string& name : this->required) {
@@ -47,7 +47,7 @@
 }
 
 bool
-CommandOptions::HelpAsked() const
+CommandOptions::IsHelpRequested() const
 {
   return this->Has("help");
 }
@@ -65,7 +65,7 @@
 }
 
 std::string
-CommandOptions::FlagOfVariable(const std::string& aVariable) const
+CommandOptions::FlagForVariable(const std::string& aVariable) const
 {
   if (!aVariable.starts_with(kPrefix)) {
     return {};
@@ -82,23 +82,23 @@
 {
   po::options_description all;
   all.add(this->flags);
-  po::positional_options_description places;
+  po::positional_options_description positionalOptions;
   for (const std::string& name : this->positional) {
     all.add_options()(name.c_str(), po::value<std::string>());
-    places.add(name.c_str(), 1);
+    positionalOptions.add(name.c_str(), 1);
   }
   try {
     const std::vector<std::string> arguments(aArguments.begin(), aArguments.end());
     po::command_line_parser parser(arguments);
     const auto parsed =
-      parser.options(all).positional(places).style(kStyle).allow_unregistered().run();
+      parser.options(all).positional(positionalOptions).style(kStyle).allow_unregistered().run();
     for (const auto& unknown : po::collect_unrecognized(parsed.options, po::exclude_positional)) {
       aFaults.push_back("unknown option " + unknown);
     }
     po::store(parsed, this->values);
     po::store(po::parse_environment(
                 this->flags,
-                [this](const std::string& aVariable) { return this->FlagOfVariable(aVariable); }),
+                [this](const std::string& aVariable) { return this->FlagForVariable(aVariable); }),
               this->values);
   } catch (const po::error& error) {
     aFaults.emplace_back(error.what());
--- a/Lagoonward/Cli/ManifestFile.cpp
+++ b/Lagoonward/Cli/ManifestFile.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// The file's text, but no more of it than a manifest may have, and one byte.
+/// Reads at most one byte more than the size limit of a manifest, so that the manifest reader can detect a larger file.
 std::optional<std::string>
 ReadFile(const std::string& aPath)
 {
@@ -33,15 +33,15 @@
 {
   const auto text = ReadFile(aPath);
   if (!text) {
-    aErr << aPath << ": can't be read\n";
+    aErr << aPath << ": cannot be read\n";
     return std::nullopt;
   }
-  auto reading = ReadManifest(*text);
-  for (const ManifestFault& fault : reading.faults) {
+  auto result = ReadManifest(*text);
+  for (const ManifestFault& fault : result.faults) {
     aErr << aPath << ": " << (fault.pointer.empty() ? "(document)" : fault.pointer) << ": "
          << fault.message << '\n';
   }
-  return std::move(reading.manifest);
+  return std::move(result.manifest);
 }
 
 } // namespace lagoonward
--- a/Lagoonward/Cli/ManifestFile.h
+++ b/Lagoonward/Cli/ManifestFile.h
@@ -8,8 +8,8 @@
 
 namespace lagoonward {
 
-/// Reads and validates a manifest file; prints each fault as `FILE: POINTER: MESSAGE`, one a line.
-/// @return nothing if the file can't be read or has faults
+/// Reads and validates a manifest file. Prints each fault as a line `FILE: POINTER: MESSAGE`.
+/// @return the manifest; empty if the file cannot be read or has faults
 [[nodiscard]] std::optional<Manifest>
 LoadManifest(const std::string& aPath, std::ostream& aErr);
 
--- a/Lagoonward/Cli/PublishCommand.cpp
+++ b/Lagoonward/Cli/PublishCommand.cpp
@@ -38,8 +38,8 @@
   return options;
 }
 
-/// Faults that show only in the values; prints each.
-/// @return whether there was none
+/// Checks the values of the options and prints each fault.
+/// @return true if there are no faults
 bool
 CheckValues(const CommandOptions& aOptions, std::ostream& aErr)
 {
@@ -49,7 +49,7 @@
     valid = false;
   }
   if (aOptions.Has("timeout-ms") && aOptions.Get<int>("timeout-ms") <= 0) {
-    aErr << "lagoonward publish: --timeout-ms is not positive\n";
+    aErr << "lagoonward publish: --timeout-ms must be greater than zero\n";
     valid = false;
   }
   return valid;
@@ -85,26 +85,26 @@
 RunPublish(std::span<const std::string> aArguments, std::ostream& aOut, std::ostream& aErr)
 {
   CommandOptions options("publish", DescribeOptions(), { "file" }, { "file", "log-url" });
-  const bool readable = options.Read(aArguments, aErr);
-  if (readable && options.HelpAsked()) {
+  const bool optionsValid = options.Read(aArguments, aErr);
+  if (optionsValid && options.IsHelpRequested()) {
     aOut << kUsage << "Appends a manifest to its market's stream and tells who won.\n"
          << options.Flags();
     return kExitOk;
   }
-  // Every fault is named, so the values are looked at even when a flag was wrong
+  // Report all faults: check the values also if the flags were faulty
   const bool valuesValid = CheckValues(options, aErr);
-  if (!readable || !valuesValid) {
+  if (!optionsValid || !valuesValid) {
     aErr << kUsage;
     return kExitUsage;
   }
 
-  // Check before anything is appended
+  // Validate the manifest before appending anything
   const auto manifest = LoadManifest(options.Get<std::string>("file"), aErr);
   if (!manifest) {
     return kExitFailed;
   }
 
-  // Publish
+  // Publish the manifest
   const SystemClock clock;
   HttpLogService log(options.Get<std::string>("log-url"), PlatformSettings());
   PublisherSettings settings;
@@ -119,11 +119,11 @@
     aErr << "lagoonward publish: " << outcome.error().message << '\n';
     return kExitFailed;
   }
-  // Lead daemons that do not know the market yet to its stream
+  // Add the market to the index, so that daemons that do not follow it yet find its stream
   if (outcome.value().verdict == Verdict::Accepted &&
       !log.Append(kMarketIndexStream, WriteMarketIndexRecord(manifest->market))) {
-    aErr << "lagoonward publish: the index of markets could not be written; daemons that do not "
-            "follow this market yet learn of it from callers or other daemons\n";
+    aErr << "lagoonward publish: failed to write the index of markets; daemons that do not follow "
+            "this market yet will learn of it from callers or other daemons\n";
   }
   return Report(outcome.value(), manifest->market, aOut, aErr);
 }
--- a/Lagoonward/Cli/PublishCommand.h
+++ b/Lagoonward/Cli/PublishCommand.h
@@ -7,10 +7,11 @@
 namespace lagoonward {
 
 /// `lagoonward publish FILE --log-url URL [--base OFFSET]`: validates a manifest, appends it to its
-/// market's stream and prints who won. Without `--base` it builds on what is in force. Each flag
-/// `--foo-bar` may also be given as LAGOONWARD_FOO_BAR; the flag wins.
-/// @param aArguments  what follows `publish`
-/// @return the exit status: 0 in force, 1 faulty, lost or not known to be in force, 2 wrong usage
+/// market's stream and prints whether it came into force or which record did instead. Without `--base` it is based on
+/// the configuration in force. Each flag `--foo-bar` may also be given as the variable LAGOONWARD_FOO_BAR; the flag
+/// overrides it.
+/// @param aArguments  the arguments after `publish`
+/// @return the exit status: 0 if in force; 1 if invalid, superseded or not known to be in force; 2 on wrong usage
 [[nodiscard]] int
 RunPublish(std::span<const std::string> aArguments, std::ostream& aOut, std::ostream& aErr);
 
--- a/Lagoonward/Cli/ServeCommand.cpp
+++ b/Lagoonward/Cli/ServeCommand.cpp
@@ -28,7 +28,9 @@
   return entries;
 }
 
-/// The signals that ask for a drain. Blocked in all threads, so that sigwait() takes them.
+/// Blocks the signals that request a drain in this and all threads started later, so that sigwait() receives them.
+/// Ignores SIGPIPE.
+/// @return the blocked signals
 sigset_t
 BlockDrainSignals()
 {
--- a/Lagoonward/Cli/ServeCommand.h
+++ b/Lagoonward/Cli/ServeCommand.h
@@ -6,10 +6,10 @@
 
 namespace lagoonward {
 
-/// `lagoonward serve`: runs a daemon until SIGTERM, SIGINT or an operator's drain, finishes every
-/// request and ends.
-/// @param aArguments  what follows `serve`
-/// @return the exit status: 0 drained, 1 could not start, 2 wrong settings
+/// `lagoonward serve`: runs a daemon until SIGTERM, SIGINT or an operator's drain command. Then finishes all requests
+/// and returns.
+/// @param aArguments  the arguments after `serve`
+/// @return the exit status: 0 after draining, 1 if the start failed, 2 on invalid settings
 [[nodiscard]] int
 RunServe(std::span<const std::string> aArguments, std::ostream& aOut, std::ostream& aErr);
 
--- a/UnitTests/Cli/PublishCommandTests.cpp
+++ b/UnitTests/Cli/PublishCommandTests.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-/// A file that goes away with the test.
+/// A file that is deleted by the destructor.
 class TemporaryFile
 {
 public:
@@ -37,7 +37,7 @@
   std::string path;
 };
 
-/// A log over HTTP, backed by a FakeLogService.
+/// Serves a request to the log over HTTP from a FakeLogService.
 FakeAnswer
 ServeLog(FakeLogService& aLog, const FakeRequest& aRequest)
 {
@@ -56,8 +56,8 @@
   return { 200, body.dump(), {} };
 }
 
-/// What a command printed and returned.
-struct CommandRun
+/// The output and the exit status of a command.
+struct CommandResult
 {
   int status = 0;
   std::string out;
@@ -65,7 +65,7 @@
 };
 
 template<typename Command>
-CommandRun
+CommandResult
 RunCommand(Command aCommand, const std::vector<std::string>& aArguments)
 {
   std::ostringstream out;
@@ -78,7 +78,7 @@
 
 BOOST_AUTO_TEST_SUITE(PublishCommandTests)
 
-BOOST_AUTO_TEST_CASE(CheckNamesEachFault)
+BOOST_AUTO_TEST_CASE(CheckPrintsEachFault)
 {
   auto manifest = SampleManifestJson();
   const TemporaryFile good(manifest.dump());
@@ -95,7 +95,7 @@
   BOOST_TEST(RunCommand(RunCheck, { "--help" }).status == 0);
 }
 
-BOOST_AUTO_TEST_CASE(PublishTellsWhoWon)
+BOOST_AUTO_TEST_CASE(PublishPrintsWhichRecordIsInForce)
 {
   FakeLogService log;
   FakeHttpServer server([&log](const FakeRequest& aRequest) { return ServeLog(log, aRequest); });
@@ -104,7 +104,7 @@
   BOOST_TEST(won.status == 0);
   BOOST_TEST(won.out == "won: offset 0 came into force in market vestland\n");
 
-  // The variable stands in for the flag
+  // The variable replaces the flag
   setenv("LAGOONWARD_LOG_URL", server.Url().c_str(), 1);
   const auto lost = RunCommand(RunPublish, { file.path, "--base", "-1" });
   unsetenv("LAGOONWARD_LOG_URL");
@@ -112,7 +112,7 @@
   BOOST_TEST(lost.out.find("lost: offset 0 by publish-") == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(UsageFaultsAreNamedTogether)
+BOOST_AUTO_TEST_CASE(AllUsageFaultsAreReportedTogether)
 {
   const auto run = RunCommand(RunPublish, { "--bogus", "--base=-7" });
   BOOST_TEST(run.status == 2);
