--- a/Lagoonward/Providers/Backoff.h
+++ b/Lagoonward/Providers/Backoff.h
@@ -24,7 +24,7 @@
   /// @return the delay before the next attempt; at least the platform's `retryAfter`
   [[nodiscard]] Milliseconds Next(const Error& aError);
 
-  /// Records a success: the next delay starts from `first` again.
+  /// Records a success: the next delay starts from the initial bound again.
   void Reset();
 
 private:
--- a/Lagoonward/Providers/PlatformHttpClient.h
+++ b/Lagoonward/Providers/PlatformHttpClient.h
@@ -44,8 +44,8 @@
   PlatformHttpClient(const PlatformHttpClient&) = delete;
   PlatformHttpClient& operator=(const PlatformHttpClient&) = delete;
 
-  /// @return the response with any status, except that 408, 429, 5xx (unless its error kind is the call's
-  ///         `refusal`), timeouts and responses that are too long give PlatformUnavailable with `retryAfter`.
+  /// @return the response with any status, except that 408, 429, 5xx (unless the call expects its error
+  ///         kind), timeouts and responses that are too long give PlatformUnavailable with `retryAfter`.
   ///         Such a call may still have taken effect.
   [[nodiscard]] Result<PlatformAnswer> Call(const PlatformCall& aCall);
 
--- a/Lagoonward/Settings/RelaySettingsReader.cpp
+++ b/Lagoonward/Settings/RelaySettingsReader.cpp
@@ -20,8 +20,8 @@
 constexpr std::array kRequired{ "name",   "listen",         "ready",           "peer",
                                 "region", "failure-domain", "failure-domains", "store-url" };
 
-/// Shortest time within which a daemon can detect a leaving endpoint when the daemon that reads on its behalf has failed:
-/// two checks between daemons and one read.
+/// Shortest time within which a daemon can detect a leaving endpoint when the daemon that reads on its behalf has
+/// failed: two checks between daemons and one read.
 constexpr Milliseconds kMinimumLeavingNotice{ 700 };
 
 /// The unparsed values of the settings.
--- a/Lagoonward/Wire/HttpServer.cpp
+++ b/Lagoonward/Wire/HttpServer.cpp
@@ -191,7 +191,7 @@
     for (const auto& [name, value] : aExchange->headers) {
       MHD_add_response_header(response.get(), name.c_str(), value.c_str());
     }
-    if (!aServer.listening || aServer.closingAfterAnswers) {
+    if (!aServer.listening || aServer.closingAfterResponses) {
       MHD_add_response_header(response.get(), "Connection", "close");
     }
     aExchange->state = HttpExchange::State::Streaming;
@@ -306,7 +306,7 @@
 void
 HttpServer::CloseAfterAnswers()
 {
-  this->closingAfterAnswers = true;
+  this->closingAfterResponses = true;
 }
 
 void
--- a/Lagoonward/Wire/HttpServer.h
+++ b/Lagoonward/Wire/HttpServer.h
@@ -75,7 +75,7 @@
   UniqueFd quiesced; ///< The listening socket after StopListening().
   std::atomic<int> openExchanges{ 0 };
   std::atomic<bool> listening{ false };
-  std::atomic<bool> closingAfterAnswers{ false };
+  std::atomic<bool> closingAfterResponses{ false };
 };
 
 } // namespace lagoonward
--- a/UnitTests/Wire/RawHttpTests.cpp
+++ b/UnitTests/Wire/RawHttpTests.cpp
@@ -140,7 +140,7 @@
   BOOST_TEST(client.ReadToEnd().find("0\r\n\r\n") == std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(CloseAfterAnswersClosesConnectionsWhileStillListening)
+BOOST_AUTO_TEST_CASE(ConnectionsCloseAfterTheirResponseWhileStillListening)
 {
   RecordingServer recorder;
   recorder.server.CloseAfterAnswers();
