--- a/Bench/Path/LoadClient.cpp
+++ b/Bench/Path/LoadClient.cpp
@@ -9,11 +9,11 @@
 namespace {
 
 constexpr int kStatusOk = 200;
-constexpr std::size_t kKeptTail = 64;
+constexpr std::size_t kMaximumTailBytes = 64;
 
 } // namespace
 
-/// One request; hears of its transfer.
+/// One request and the observer of its transfer.
 class LoadClient::Request final : public HttpTransferObserver
 {
 public:
@@ -31,26 +31,26 @@
 
   void OnBytes(int /*aStatus*/, std::string_view aBytes) override
   {
-    if (!this->hasBegun) {
-      this->hasBegun = true;
+    if (!this->hasFirstByte) {
+      this->hasFirstByte = true;
       const std::chrono::duration<double, std::milli> waited =
         std::chrono::steady_clock::now() - this->started;
       this->client.OnFirstByte(waited.count());
     }
-    if (aBytes.size() < kKeptTail) {
+    if (aBytes.size() < kMaximumTailBytes) {
       this->tail.append(aBytes);
-      this->tail.erase(0, this->tail.size() - std::min(this->tail.size(), kKeptTail));
+      this->tail.erase(0, this->tail.size() - std::min(this->tail.size(), kMaximumTailBytes));
     } else {
-      this->tail = aBytes.substr(aBytes.size() - kKeptTail);
+      this->tail = aBytes.substr(aBytes.size() - kMaximumTailBytes);
     }
   }
 
   void OnEnd(const TransferEnd& aEnd) override
   {
-    const bool isWhole = aEnd.outcome == TransferOutcome::Complete && aEnd.status == kStatusOk &&
-                         this->tail.ends_with(this->client.load.tail);
+    const bool isComplete = aEnd.outcome == TransferOutcome::Complete && aEnd.status == kStatusOk &&
+                            this->tail.ends_with(this->client.load.tail);
     this->client.OnEnded(
-      *this, isWhole,
+      *this, isComplete,
       fmt::format("status {}: {}, ended with \"{}\"", aEnd.status, aEnd.message, this->tail));
   }
 
@@ -60,8 +60,8 @@
   LoadClient& client;
   TrafficLoop& loop;
   TimePoint started;
-  bool hasBegun = false;
-  std::string tail; ///< Last bytes of the answer.
+  bool hasFirstByte = false;
+  std::string tail; ///< Last bytes of the response.
 };
 
 LoadClient::LoadClient(unsigned aThreads)
@@ -98,7 +98,7 @@
 LoadClient::WaitForFirstBytes(int aCount)
 {
   std::unique_lock lock(this->mutex);
-  this->changed.wait(lock, [&] {
+  this->reportChanged.wait(lock, [&] {
     return static_cast<int>(this->report.firstByte.size()) + this->report.failed >= aCount;
   });
 }
@@ -107,7 +107,7 @@
 LoadClient::Finish()
 {
   std::unique_lock lock(this->mutex);
-  this->changed.wait(
+  this->reportChanged.wait(
     lock, [this] { return this->report.whole + this->report.failed == this->load.total; });
   return std::move(this->report);
 }
@@ -132,21 +132,21 @@
 {
   const std::scoped_lock lock(this->mutex);
   this->report.firstByte.push_back(aMilliseconds);
-  this->changed.notify_all();
+  this->reportChanged.notify_all();
 }
 
 void
-LoadClient::OnEnded(Request& aRequest, bool aWhole, const std::string& aFailure)
+LoadClient::OnEnded(Request& aRequest, bool aCompleted, const std::string& aFailure)
 {
   TrafficLoop& loop = aRequest.Loop();
   this->StartNext(loop);
   const std::scoped_lock lock(this->mutex);
-  this->report.whole += aWhole ? 1 : 0;
-  this->report.failed += aWhole ? 0 : 1;
-  if (!aWhole && this->report.firstFailure.empty()) {
+  this->report.whole += aCompleted ? 1 : 0;
+  this->report.failed += aCompleted ? 0 : 1;
+  if (!aCompleted && this->report.firstFailure.empty()) {
     this->report.firstFailure = aFailure;
   }
-  this->changed.notify_all();
+  this->reportChanged.notify_all();
 }
 
 } // namespace lagoonward::bench
--- a/Bench/Path/LoadClient.h
+++ b/Bench/Path/LoadClient.h
@@ -11,25 +11,27 @@
 
 namespace lagoonward::bench {
 
-/// What is sent again and again.
+/// Parameters of a load.
 struct Load
 {
   HttpTransferRequest request;
-  std::string tail;    ///< How a whole answer ends; empty for any end.
-  int concurrency = 1; ///< Requests that are open at once.
-  int total = 1;       ///< Requests in all.
+  std::string tail;    ///< Last bytes of a complete response; empty to accept any.
+  int concurrency = 1; ///< Maximum number of concurrent requests.
+  int total = 1;       ///< Total number of requests.
 };
 
-/// What came of a load.
+/// Results of a load.
 struct LoadReport
 {
-  int whole = 0;
+  int whole = 0; ///< Completed with status 200 and the expected last bytes.
   int failed = 0;
-  std::vector<double> firstByte; ///< Milliseconds from the start of each to its first body byte.
-  std::string firstFailure;      ///< Of the first that failed; empty when none did.
+  /// Milliseconds from the start of a request to its first body byte.
+  std::vector<double> firstByte;
+  std::string firstFailure; ///< Description of the first failure; empty if there was none.
 };
 
-/// Sends requests on threads of its own, each next one when an earlier one has ended.
+/// Closed-loop HTTP load generator. Sends requests on its own threads and starts the next one when a request has ended.
+/// Begin() and Finish() must not be called concurrently.
 class LoadClient
 {
 public:
@@ -39,10 +41,10 @@
   LoadClient(const LoadClient&) = delete;
   LoadClient& operator=(const LoadClient&) = delete;
 
-  /// Starts a load. The one before must have ended.
+  /// Starts a load. The previous load must have ended.
   void Begin(const Load& aLoad);
 
-  /// Waits until so many requests have got their first byte or failed.
+  /// Waits until aCount requests have received their first byte or failed.
   void WaitForFirstBytes(int aCount);
 
   /// Waits until all requests have ended.
@@ -53,14 +55,15 @@
 
   void StartNext(TrafficLoop& aLoop);
   void OnFirstByte(double aMilliseconds);
-  void OnEnded(Request& aRequest, bool aWhole, const std::string& aFailure);
+  void OnEnded(Request& aRequest, bool aCompleted, const std::string& aFailure);
 
   SystemClock clock;
   std::vector<std::unique_ptr<TrafficLoop>> loops;
   Load load;
-  std::mutex mutex; ///< Guards all below.
-  std::condition_variable changed;
-  std::vector<std::unique_ptr<Request>> requests; ///< Of this load; kept until it has ended.
+  std::mutex mutex; ///< Guards all members below.
+  std::condition_variable reportChanged;
+  /// Requests of this load; retained until the next one begins.
+  std::vector<std::unique_ptr<Request>> requests;
   LoadReport report;
 };
 
--- a/Bench/Path/PathDaemon.cpp
+++ b/Bench/Path/PathDaemon.cpp
@@ -15,7 +15,7 @@
 
 const std::string kMarket = "path";
 const std::string kDomain = "bergen-a";
-constexpr Milliseconds kDeadline{ 24 * 3'600'000 }; ///< No stream lives so long.
+constexpr Milliseconds kDeadline{ 24 * 3'600'000 }; ///< Longer than any stream of the bench.
 constexpr Milliseconds kFirstToken{ 10'000 };
 constexpr Milliseconds kBetweenTokens{ 1000 };
 
@@ -61,7 +61,7 @@
 
 } // namespace
 
-PathDaemon::PathDaemon(std::uint16_t aEnginePort, int aEngines)
+PathDaemon::PathDaemon(std::uint16_t aEnginePort, int aEngineCount)
   : markets({}, this->clock, 1)
 {
   const DaemonSettings settings;
@@ -80,7 +80,7 @@
   this->callers =
     std::make_unique<CallerApi>(server, settings.calls, Milliseconds(0), this->clock, this->markets,
                                 *this->runs, [](const std::string&) {});
-  this->Configure(aEnginePort, aEngines);
+  this->Configure(aEnginePort, aEngineCount);
 }
 
 PathDaemon::~PathDaemon()
@@ -116,11 +116,11 @@
 }
 
 void
-PathDaemon::Configure(std::uint16_t aEnginePort, int aEngines)
+PathDaemon::Configure(std::uint16_t aEnginePort, int aEngineCount)
 {
   auto snapshot = std::make_shared<FleetSnapshot>();
   snapshot->generation = 1;
-  for (int index = 0; index < aEngines; ++index) {
+  for (int index = 0; index < aEngineCount; ++index) {
     Endpoint engine =
       MakeEndpoint(fmt::format("engine-{}", index), aEnginePort, EndpointKind::Engine);
     EndpointLoad load;
--- a/Bench/Path/PathDaemon.h
+++ b/Bench/Path/PathDaemon.h
@@ -11,20 +11,20 @@
 
 namespace lagoonward::bench {
 
-/// The request path of one daemon with its default settings: the caller interface, runs, claims and one
-/// market. Configuration and fleet are set by hand; membership and platform are left out.
+/// The request path of one daemon with default settings: caller API, runs, claims and one market. Configuration and
+/// fleet are fixed; membership and the platform are not part of it.
 class PathDaemon
 {
 public:
-  /// Key of the only client account, which has no limits.
+  /// API key of the only client account, which has no limits.
   static constexpr std::string_view kClientKey = "path-bench";
   static constexpr std::string_view kModel = "permit-drafter";
   static constexpr std::string_view kVersion = "2026-10";
   static constexpr std::string_view kService = "plant-portal";
 
-  /// @param aEnginePort  where all of its engines and services listen
-  /// @param aEngines  under how many ids
-  PathDaemon(std::uint16_t aEnginePort, int aEngines);
+  /// @param aEnginePort  port of all its engines and services
+  /// @param aEngineCount  number of engine ids that share the port
+  PathDaemon(std::uint16_t aEnginePort, int aEngineCount);
   ~PathDaemon();
   PathDaemon(const PathDaemon&) = delete;
   PathDaemon& operator=(const PathDaemon&) = delete;
@@ -33,11 +33,11 @@
 
   [[nodiscard]] std::uint16_t Port() const { return this->callers->Port(); }
   [[nodiscard]] const RunCounters& Counters() const { return this->runs->Counters(); }
-  /// Processor time that its threads have used, in seconds.
+  /// Processor time used by its threads, in seconds.
   [[nodiscard]] double ProcessorSeconds() const;
 
 private:
-  void Configure(std::uint16_t aEnginePort, int aEngines);
+  void Configure(std::uint16_t aEnginePort, int aEngineCount);
 
   SystemClock clock;
   FleetStore fleet;
--- a/Bench/Path/PathEngine.cpp
+++ b/Bench/Path/PathEngine.cpp
@@ -27,7 +27,7 @@
 
 PathEngine::PathEngine(PathEngineSettings aSettings)
   : settings(std::move(aSettings))
-  , tokenTail(fmt::format(",\"text\":\"{}\"}}\n\n", this->settings.token))
+  , tokenEventSuffix(fmt::format(",\"text\":\"{}\"}}\n\n", this->settings.token))
   , step(this->settings.step)
   , server(MakeServerSettings(this->settings),
            [this](const HttpRequest& aRequest, const HttpExchangePtr& aExchange) {
@@ -53,7 +53,7 @@
 {
   auto started = this->server.Start();
   if (started) {
-    this->ticker = std::thread([this] { this->Run(); });
+    this->ticker = std::thread([this] { this->RunTicker(); });
   }
   return started;
 }
@@ -83,12 +83,12 @@
   const auto body = nlohmann::json::parse(aRequest.body);
   Stream stream;
   stream.exchange = aExchange;
-  stream.identity = fmt::format(
+  stream.identityFields = fmt::format(
     R"("attempt_id":"{}","model":"{}","version":"{}")", body.at("attempt_id").get<std::string>(),
     body.at("model").get<std::string>(), body.at("version").get<std::string>());
   stream.count = body.at("max_tokens").get<int>();
   aExchange->BeginStream(kStatusOk, { { "Content-Type", "text/event-stream" } });
-  std::string opening = "data: {" + stream.identity + ",\"stream_id\":\"s\"}\n\n";
+  std::string opening = "data: {" + stream.identityFields + ",\"stream_id\":\"s\"}\n\n";
   if (this->WriteNext(stream, std::move(opening))) {
     const std::scoped_lock lock(this->mutex);
     this->streams.push_back(std::move(stream));
@@ -96,26 +96,26 @@
 }
 
 bool
-PathEngine::WriteNext(Stream& aStream, std::string aBefore)
+PathEngine::WriteNext(Stream& aStream, std::string aPrefix)
 {
-  std::string events = std::move(aBefore);
+  std::string events = std::move(aPrefix);
   fmt::format_to(std::back_inserter(events), "data: {{\"index\":{}", aStream.next++);
-  events += this->tokenTail;
+  events += this->tokenEventSuffix;
   const bool isLast = aStream.next >= aStream.count;
   if (isLast) {
     fmt::format_to(std::back_inserter(events),
                    "data: {{{},\"finish_reason\":\"length\",\"token_count\":{}}}\n\n",
-                   aStream.identity, aStream.next);
+                   aStream.identityFields, aStream.next);
   }
-  const bool isHere = aStream.exchange->Write(events);
-  if (isLast || !isHere) {
+  const bool isConnected = aStream.exchange->Write(events);
+  if (isLast || !isConnected) {
     aStream.exchange->EndStream();
   }
-  return isHere && !isLast;
+  return isConnected && !isLast;
 }
 
 void
-PathEngine::Run()
+PathEngine::RunTicker()
 {
   auto next = std::chrono::steady_clock::now();
   while (!this->stopping) {
--- a/Bench/Path/PathEngine.h
+++ b/Bench/Path/PathEngine.h
@@ -10,7 +10,7 @@
 
 namespace lagoonward::bench {
 
-/// Tunables of the bench's engine.
+/// Settings of PathEngine.
 struct PathEngineSettings
 {
   unsigned threads = 4;
@@ -18,8 +18,8 @@
   std::string token = " assess"; ///< Text of every token.
 };
 
-/// A model engine that streams the same token at a steady rate, and a plain service that answers every
-/// other path at once. The first token comes with the answer's head.
+/// HTTP server that acts as a model engine and as a plain service. As an engine it streams the same token at a constant
+/// rate; the first token is sent together with the response head. Every other path is answered immediately.
 class PathEngine
 {
 public:
@@ -30,31 +30,31 @@
 
   [[nodiscard]] Result<void> Start();
 
-  /// Ends every open stream properly at its next token.
+  /// Completes every open stream with its next token.
   void FinishStreams();
 
   void SetStep(Milliseconds aStep) { this->step = aStep; }
   [[nodiscard]] std::uint16_t Port() const { return this->server.Port(); }
 
 private:
-  /// One answer in progress.
+  /// A response in progress.
   struct Stream
   {
     HttpExchangePtr exchange;
-    std::string identity; ///< Fields that the first and the last event repeat.
-    int next = 0;         ///< Index of the next token.
-    int count = 0;        ///< Tokens in all.
+    std::string identityFields; ///< Fields that the first and the last event repeat.
+    int next = 0;               ///< Index of the next token.
+    int count = 0;              ///< Total number of tokens.
   };
 
   void Handle(const HttpRequest& aRequest, const HttpExchangePtr& aExchange);
   void BeginStream(const HttpRequest& aRequest, const HttpExchangePtr& aExchange);
-  /// Writes the next token, and the end after the last.
-  /// @return whether the stream goes on
-  bool WriteNext(Stream& aStream, std::string aBefore);
-  void Run();
+  /// Writes the next token and, after the last one, the final event.
+  /// @return whether the stream continues
+  bool WriteNext(Stream& aStream, std::string aPrefix);
+  void RunTicker();
 
   PathEngineSettings settings;
-  std::string tokenTail; ///< Everything of a token's event after its index.
+  std::string tokenEventSuffix; ///< Part of a token event after the index.
   std::atomic<Milliseconds> step;
   std::mutex mutex; ///< Guards `streams`.
   std::vector<Stream> streams;
--- a/Bench/Path/ProcessUsage.cpp
+++ b/Bench/Path/ProcessUsage.cpp
@@ -32,7 +32,7 @@
 {
   double sum = 0;
   for (const std::string& thread : aThreads) {
-    // The first number is the time spent on a processor, in nanoseconds
+    // The first field is the time spent on a processor, in nanoseconds
     std::ifstream file(fmt::format("{}/{}/schedstat", kTasks, thread));
     double nanoseconds = 0;
     file >> nanoseconds;
@@ -46,9 +46,9 @@
 {
   malloc_trim(0);
   std::ifstream file("/proc/self/statm");
-  double all = 0;
+  double total = 0;
   double resident = 0;
-  file >> all >> resident;
+  file >> total >> resident;
   return resident * static_cast<double>(sysconf(_SC_PAGESIZE)) / kMegabyte;
 }
 
--- a/Bench/Path/ProcessUsage.h
+++ b/Bench/Path/ProcessUsage.h
@@ -5,15 +5,15 @@
 
 namespace lagoonward::bench {
 
-/// Ids of the threads that this process has now.
+/// Ids of the current threads of this process.
 [[nodiscard]] std::set<std::string>
 ListThreads();
 
-/// Processor time of some threads so far, in seconds. Threads that have ended count as nothing.
+/// Total processor time of the given threads, in seconds. Threads that have ended count as zero.
 [[nodiscard]] double
 ProcessorSeconds(const std::set<std::string>& aThreads);
 
-/// Resident memory of this process in MB of 2^20 bytes, after giving free memory back.
+/// Resident memory of this process in MB of 2^20 bytes, after releasing free memory to the operating system.
 [[nodiscard]] double
 ResidentMegabytes();
 
