--- a/Bench/Decisions/BaselinePolicy.h
+++ b/Bench/Decisions/BaselinePolicy.h
@@ -8,22 +8,22 @@
 
 namespace lagoonward::bench {
 
-/// What a baseline's rule may look at.
+/// Input of the selection rule of a baseline.
 struct BaselineState
 {
   std::span<const std::uint32_t> hosts;    ///< Live hosts for the request, in a fixed order.
-  std::span<const int> outstanding;        ///< By host: this daemon's requests there.
+  std::span<const int> outstanding;        ///< By host: outstanding requests of this daemon.
   std::span<const std::uint64_t> hostKeys; ///< By host: hash of its id.
 };
 
-/// Any host with the same chance.
+/// Selects a host uniformly at random.
 struct RandomRule
 {
   [[nodiscard]] std::uint32_t Pick(const BaselineState& aState, const WorkItem& aItem,
                                    Random& aRandom);
 };
 
-/// One after the other, per daemon.
+/// Selects hosts in turn, separately for each daemon.
 struct RoundRobinRule
 {
   std::size_t next = 0;
@@ -31,29 +31,29 @@
                                    Random& aRandom);
 };
 
-/// The host with the fewest of this daemon's requests; ties at random.
+/// Selects the host with the fewest outstanding requests of this daemon; ties are broken at random.
 struct LeastOutstandingRule
 {
   [[nodiscard]] std::uint32_t Pick(const BaselineState& aState, const WorkItem& aItem,
                                    Random& aRandom);
 };
 
-/// Rendezvous hashing of the prompt's prefix.
+/// Selects a host by rendezvous hashing of the prompt's prefix.
 struct PrefixHashRule
 {
   [[nodiscard]] std::uint32_t Pick(const BaselineState& aState, const WorkItem& aItem,
                                    Random& aRandom);
 };
 
-/// Two-level hashing after Gabert et al., ElGA (SC '21): a count-min sketch estimates how often a
-/// prefix is asked for, which decides how many homes it gets by rendezvous hashing; a second choice
-/// picks among the homes, here the one with the fewest outstanding requests.
+/// Two-level hashing after Gabert et al., ElGA (SC '21). A count-min sketch estimates the number of requests for a
+/// prefix, which determines how many home hosts the prefix gets by rendezvous hashing. The second level selects one
+/// of the homes, here the one with the fewest outstanding requests.
 struct TwoLevelHashRule
 {
   static constexpr std::size_t kRows = 4;
   static constexpr std::size_t kColumns = 1024;
-  /// Requests seen before a prefix gets one more home; the better of 3 and 12 on seeds 1 to 5.
-  static constexpr std::uint32_t kPerHome = 3;
+  /// Requests for a prefix per additional home. 3 performed better than 12 on seeds 1 to 5.
+  static constexpr std::uint32_t kRequestsPerHome = 3;
   std::array<std::uint32_t, kRows * kColumns> sketch{};
 
   [[nodiscard]] std::uint32_t Count(std::uint64_t aPrefix);
@@ -61,15 +61,15 @@
                                    Random& aRandom);
 };
 
-/// A proxy as a careful operator would set it up: it stops using hosts that the host list shows
-/// leaving, sends the class's priority along, and retries a failed request from scratch, up to three attempts.
+/// A well-configured proxy: it stops using hosts that the host list shows as leaving, passes the priority of the
+/// class to the engine, and retries a failed request from scratch, with up to three attempts.
 template<typename Rule>
 class BaselinePolicy
 {
 public:
   static constexpr bool kResumes = false;
-  static constexpr double kNoticeDelay = 3;    ///< Seconds until the host list shows a notice.
-  static constexpr double kSilenceBudget = 10; ///< Idle timeout of a connection.
+  static constexpr double kNoticeDelay = 3; ///< Seconds until the host list shows a reclaim notice.
+  static constexpr double kStallTimeout = 10; ///< Idle timeout of a connection in seconds.
   static constexpr int kAttempts = 3;
 
   BaselinePolicy(const Deployment& aDeployment, const Tuning& /*aTuning*/, const Clock& /*aClock*/,
@@ -100,11 +100,14 @@
     }
   }
 
-  [[nodiscard]] Result<void> Admit(const Ask& /*aAsk*/) { return boost::outcome_v2::success(); }
+  [[nodiscard]] Result<void> Admit(const Ask& /*aPlacementRequest*/)
+  {
+    return boost::outcome_v2::success();
+  }
 
-  [[nodiscard]] Result<Placement> Place(const Ask& aAsk)
+  [[nodiscard]] Result<Placement> Place(const Ask& aPlacementRequest)
   {
-    const WorkItem& item = *aAsk.item;
+    const WorkItem& item = *aPlacementRequest.item;
     RouteRequest request;
     request.service = item.service;
     request.model = item.service.empty() ? std::string_view(this->model) : std::string_view();
@@ -115,19 +118,20 @@
     std::vector<std::uint32_t> hosts;
     for (const std::uint32_t target : group.value()->targets) {
       const std::uint32_t host = this->view.hostOfTarget[target];
-      if (host != aAsk.failedHost) {
+      if (host != aPlacementRequest.failedHost) {
         hosts.push_back(host);
       }
     }
     if (hosts.empty()) {
-      return Error(ErrorKind::NoEndpoint, "no host is live");
+      return Error(ErrorKind::NoEndpoint,
+                   "no live host for the request (the host of a failed attempt is excluded)");
     }
     std::sort(hosts.begin(), hosts.end());
     auto& counts = this->outstanding[item.daemon];
     const std::uint32_t host =
       this->rules[item.daemon].Pick({ hosts, counts, this->hostKeys }, item, this->random);
     counts[host]++;
-    this->placed[aAsk.request] = { item.daemon, host };
+    this->placed[aPlacementRequest.request] = { item.daemon, host };
     return Placement{ host, this->priorities[item.classIndex] };
   }
 
@@ -139,14 +143,17 @@
     this->outstanding[entry.daemon][entry.host]--;
   }
 
-  [[nodiscard]] bool MayRetry(const Ask& aAsk) { return aAsk.attempt < kAttempts; }
+  [[nodiscard]] bool MayRetry(const Ask& aPlacementRequest)
+  {
+    return aPlacementRequest.attempt < kAttempts;
+  }
 
   void OnCacheEvents(std::string_view /*aEndpoint*/, std::span<const std::uint64_t> /*aStored*/,
                      std::span<const std::uint64_t> /*aEvicted*/, bool /*aGap*/)
   {
   }
 
-  void OnAnswered(std::uint32_t /*aRequest*/, bool /*aMet*/) {}
+  void OnCompleted(std::uint32_t /*aRequest*/, bool /*aMet*/) {}
 
   void OnHeartbeat() {}
 
@@ -160,7 +167,7 @@
   Random random;
   std::vector<Rule> rules;                   ///< By daemon.
   std::vector<std::vector<int>> outstanding; ///< By daemon, then by host.
-  std::vector<Placed> placed;                ///< By request: its current attempt.
+  std::vector<Placed> placed;                ///< Current attempt, by request.
   std::vector<std::uint64_t> hostKeys;
   std::string model;
   std::vector<int> priorities; ///< By class.
--- a/Bench/Decisions/BaselineRules.cpp
+++ b/Bench/Decisions/BaselineRules.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-/// The block that names a prompt's prefix; the router takes the same.
+/// Index of the block whose hash identifies a prompt's prefix. The router uses the same.
 constexpr std::size_t kPrefixBlock = 31;
 
 std::uint64_t
-PrefixOf(const WorkItem& aItem)
+PrefixHash(const WorkItem& aItem)
 {
   return aItem.blocks[std::min(aItem.blocks.size() - 1, kPrefixBlock)];
 }
@@ -34,7 +34,7 @@
 std::uint32_t
 LeastOutstandingRule::Pick(const BaselineState& aState, const WorkItem& /*aItem*/, Random& aRandom)
 {
-  // A random start makes ties fall anywhere
+  // The search starts at a random host, so that ties are broken at random
   const std::size_t start = aRandom.Next() % aState.hosts.size();
   std::uint32_t best = aState.hosts[start];
   for (std::size_t step = 1; step < aState.hosts.size(); ++step) {
@@ -52,7 +52,7 @@
   if (aItem.blocks.empty()) {
     return RandomRule().Pick(aState, aItem, aRandom);
   }
-  const std::uint64_t prefix = PrefixOf(aItem);
+  const std::uint64_t prefix = PrefixHash(aItem);
   return *std::max_element(aState.hosts.begin(), aState.hosts.end(),
                            [&](std::uint32_t aLeft, std::uint32_t aRight) {
                              return RendezvousWeight(prefix, aState.hostKeys[aLeft]) <
@@ -78,17 +78,18 @@
     return RandomRule().Pick(aState, aItem, aRandom);
   }
 
-  // First level: the homes; second level: which of them
-  const std::uint64_t prefix = PrefixOf(aItem);
+  // The first level selects the homes, the second level one of them
+  const std::uint64_t prefix = PrefixHash(aItem);
   const std::size_t homes =
-    std::min<std::size_t>(1 + this->Count(prefix) / kPerHome, aState.hosts.size());
+    std::min<std::size_t>(1 + this->Count(prefix) / kRequestsPerHome, aState.hosts.size());
   std::vector<std::uint32_t> ranked(aState.hosts.begin(), aState.hosts.end());
   std::sort(ranked.begin(), ranked.end(), [&](std::uint32_t aLeft, std::uint32_t aRight) {
     return RendezvousWeight(prefix, aState.hostKeys[aLeft]) >
            RendezvousWeight(prefix, aState.hostKeys[aRight]);
   });
-  const BaselineState among{ std::span(ranked).first(homes), aState.outstanding, aState.hostKeys };
-  return LeastOutstandingRule().Pick(among, aItem, aRandom);
+  const BaselineState homeState{ std::span(ranked).first(homes), aState.outstanding,
+                                 aState.hostKeys };
+  return LeastOutstandingRule().Pick(homeState, aItem, aRandom);
 }
 
 } // namespace lagoonward::bench
--- a/Bench/Decisions/Bound.cpp
+++ b/Bench/Decisions/Bound.cpp
@@ -12,41 +12,41 @@
 constexpr double kSecondsPerHour = 3600;
 constexpr int kBlockTokens = 64;
 
-/// Work of a whole run.
-struct Work
+/// Total work of a run, in tokens.
+struct TotalWork
 {
   double prefillTokens = 0;
   std::vector<double> outputTokens; ///< By class.
 };
 
-/// A span of one host's time at one price.
+/// A time span of one host at a constant price.
 struct HostTime
 {
   double seconds = 0;
   double pricePerSecond = 0;
-  double workSeconds = 0; ///< Time that this host would need for all the work.
+  double workSeconds = 0; ///< Time that this host would need for the total work.
 
   [[nodiscard]] double Price() const { return this->pricePerSecond * this->workSeconds; }
 };
 
-Work
+TotalWork
 SumWork(const std::vector<WorkItem>& aItems, std::size_t aClasses)
 {
-  Work work;
+  TotalWork work;
   work.outputTokens.resize(aClasses);
-  std::unordered_set<std::uint64_t> seen;
+  std::unordered_set<std::uint64_t> seenBlocks;
   for (const WorkItem& item : aItems) {
     work.outputTokens[item.classIndex] += item.outputTokens;
     work.prefillTokens += item.promptTokens % kBlockTokens;
     for (const std::uint64_t block : item.blocks) {
-      work.prefillTokens += seen.insert(block).second ? kBlockTokens : 0;
+      work.prefillTokens += seenBlocks.insert(block).second ? kBlockTokens : 0;
     }
   }
   return work;
 }
 
 double
-SecondsFor(const Work& aWork, const EngineSpec& aSpec, const Manifest& aManifest)
+ProcessingSeconds(const TotalWork& aWork, const EngineSpec& aSpec, const Manifest& aManifest)
 {
   double seconds = aWork.prefillTokens / aSpec.prefillTokensPerSecond;
   for (std::size_t index = 0; index < aWork.outputTokens.size(); ++index) {
@@ -60,7 +60,7 @@
   return seconds;
 }
 
-/// Cuts one host's time where its price changes or its domain goes.
+/// Splits the time of one host at price changes and ends it at the reclaim of its domain.
 void
 AddHostTimes(const EngineSpec& aSpec, const Scenario& aScenario, double aLength,
              double aWorkSeconds, std::vector<HostTime>& aTimes)
@@ -91,23 +91,24 @@
              std::uint64_t aSeed)
 {
   const auto items = MakeWorkload(aDeployment, aScenario, aSeed);
-  const Work work = SumWork(items, aDeployment.manifest.classes.size());
+  const TotalWork work = SumWork(items, aDeployment.manifest.classes.size());
 
-  // Replacements of reclaimed hosts count as if they had always stood where they were cheapest
+  // Replacements of reclaimed hosts are not modelled: the work of a reclaimed host goes to the cheapest remaining
+  // host time
   std::vector<HostTime> times;
   for (const EngineSpec& spec : aDeployment.engines) {
-    const double seconds = SecondsFor(work, spec, aDeployment.manifest);
+    const double seconds = ProcessingSeconds(work, spec, aDeployment.manifest);
     AddHostTimes(spec, aScenario, aDeployment.seconds, seconds, times);
   }
   std::sort(times.begin(), times.end(), [](const HostTime& aLeft, const HostTime& aRight) {
     return aLeft.Price() < aRight.Price();
   });
-  double left = 1;
+  double remainingFraction = 1;
   double cost = 0;
   for (const HostTime& time : times) {
-    const double part = std::min(left, time.seconds / time.workSeconds);
-    cost += part * time.Price();
-    left -= part;
+    const double fraction = std::min(remainingFraction, time.seconds / time.workSeconds);
+    cost += fraction * time.Price();
+    remainingFraction -= fraction;
   }
 
   RunResult result;
@@ -121,9 +122,9 @@
     result.tokensGenerated += static_cast<std::int64_t>(tokens);
   }
 
-  // What does not fit into the hosts' time at all is not served
-  result.tokensAtTarget =
-    static_cast<std::int64_t>(static_cast<double>(result.tokensGenerated) * (1 - left));
+  // Work that exceeds the total host time is not served
+  result.tokensAtTarget = static_cast<std::int64_t>(static_cast<double>(result.tokensGenerated) *
+                                                    (1 - remainingFraction));
   result.cost = cost;
   for (const ManifestClass& each : aDeployment.manifest.classes) {
     result.classes.push_back({ each.name });
--- a/Bench/Decisions/Bound.h
+++ b/Bench/Decisions/Bound.h
@@ -6,10 +6,10 @@
 
 namespace lagoonward::bench {
 
-/// A lower bound of what any policy can pay for the workload: each prompt block is computed once in the
-/// whole run, each answer is generated in batches as large as its class's target between tokens
-/// lets an engine run, and all of it fills the cheapest hosts' time first, at the price then asked.
-/// Arrival times, queues and cache limits are left out, so no policy can reach it.
+/// Computes a lower bound of the cost of the workload under any policy. It assumes that each prompt block is computed
+/// once in the run, that answers are generated in the largest batches that the class's target between tokens allows,
+/// and that the cheapest host time is used first, at the price of that time. Arrival times, queues and cache limits
+/// are ignored, so no policy can reach the bound.
 [[nodiscard]] RunResult
 ComputeBound(const Deployment& aDeployment, const Scenario& aScenario, const Tuning& aTuning,
              std::uint64_t aSeed);
--- a/Bench/Decisions/Deployment.cpp
+++ b/Bench/Decisions/Deployment.cpp
@@ -6,14 +6,15 @@
 
 namespace {
 
-/// Prices of a domain, per host and hour.
+/// Price of a large host in a failure domain, per hour.
 struct DomainPrice
 {
   const char* domain;
   double large;
 };
 
-constexpr double kMediumPrice = 0.7; ///< Price of a medium host over that of a large one.
+/// Ratio of the price of a medium host to that of a large one.
+constexpr double kMediumPrice = 0.7;
 
 EngineSpec
 MakeLarge()
@@ -36,7 +37,7 @@
   return spec;
 }
 
-/// Engines dealt out to the domains in turn, every third of them medium.
+/// Adds engines, assigned to the domains round-robin; every third one is medium.
 void
 AddEngines(Deployment& aDeployment, const std::vector<DomainPrice>& aPrices, int aCount,
            const EngineSpec& aLarge, const EngineSpec& aMedium)
@@ -58,7 +59,7 @@
 void
 AddClients(Manifest& aManifest, const std::vector<const char*>& aNames)
 {
-  // The first two are large: they ask for more than half of the work
+  // The first two are large: they send more than half of the requests
   for (const char* name : aNames) {
     ManifestClient client;
     client.name = name;
@@ -145,7 +146,7 @@
   return deployment;
 }
 
-/// The plan for two years from now, at a twentieth of its size: 44 of 880 runners, 19 of 380 daemons.
+/// The size planned for two years ahead, simulated at 1/20: 44 of 880 runners, 19 of 380 daemons.
 Deployment
 MakePlan()
 {
@@ -162,7 +163,7 @@
                        { "urgent", Milliseconds(1800), Milliseconds(66), Milliseconds(15000), 9 } };
   AddClients(manifest, { "one", "two", "three", "four", "five" });
 
-  // Eight accelerators to a runner
+  // Each runner has eight accelerators
   EngineSpec large = MakeLarge();
   large.prefillTokensPerSecond = 30000;
   large.stepPerSequenceSeconds = 0.00025;
--- a/Bench/Decisions/Deployment.h
+++ b/Bench/Decisions/Deployment.h
@@ -13,19 +13,19 @@
 struct TrafficSpec
 {
   std::string className;
-  std::string service;  ///< For plain services' calls; then only `perSecond` counts.
-  double perSecond = 1; ///< Requests, over the whole deployment.
-  int documents = 0; ///< Long documents in use at any time; zero: prompts share the preamble only.
+  std::string service; ///< Name of a plain service, for calls to it; then only `perSecond` is used.
+  double perSecond = 1; ///< Requests per second in the deployment.
+  int documents = 0;    ///< Documents in use at any time; zero: prompts share only the preamble.
   int documentTokensLow = 0;
   int documentTokensHigh = 0;
-  int usesPerDocument = 8;    ///< Requests about one document before another takes its place.
-  int questionTokensLow = 50; ///< What is asked behind the document.
+  int usesPerDocument = 8;    ///< Mean number of requests per document before it is replaced.
+  int questionTokensLow = 50; ///< Length of the question after the document.
   int questionTokensHigh = 300;
   int outputLow = 40;
   int outputHigh = 80;
 };
 
-/// A deployment as the bench plays it.
+/// A simulated deployment.
 struct Deployment
 {
   std::string name;
@@ -33,12 +33,13 @@
   std::vector<EngineSpec> engines;
   int serviceHosts = 4;
   int daemons = 8;
-  double scale = 1;     ///< Real size over the size played.
-  double seconds = 300; ///< Length of the arrivals.
+  double scale = 1;     ///< Ratio of the real size to the simulated size.
+  double seconds = 300; ///< Duration of the arrivals.
   std::vector<TrafficSpec> traffic;
 };
 
-/// "utslipp", "cantabrico" or "plan"; nothing for another name.
+/// Creates the deployment "utslipp", "cantabrico" or "plan".
+/// @return nothing for any other name
 [[nodiscard]] std::optional<Deployment>
 MakeDeployment(std::string_view aName);
 
--- a/Bench/Decisions/EngineFake.cpp
+++ b/Bench/Decisions/EngineFake.cpp
@@ -20,10 +20,10 @@
 void
 EngineFake::Submit(const EngineJob& aJob)
 {
-  const auto place =
+  const auto position =
     std::find_if(this->waiting.begin(), this->waiting.end(),
                  [&](const EngineJob& aOther) { return aOther.priority < aJob.priority; });
-  this->waiting.insert(place, aJob);
+  this->waiting.insert(position, aJob);
 }
 
 void
@@ -48,19 +48,19 @@
     return 0;
   }
 
-  // Prefill goes to the highest priority first, in chunks, so that answers in progress flow on
+  // Prefill is done in chunks, by priority, so that decoding sequences are not blocked by long prompts
   const auto decoding =
     std::count_if(this->running.begin(), this->running.end(), [](const Sequence& aSequence) {
-      return aSequence.begun && aSequence.prefillLeft == 0;
+      return aSequence.prefillStarted && aSequence.prefillLeft == 0;
     });
-  int budget = decoding > 0 ? this->spec.prefillChunk : this->spec.prefillAlone;
+  int budget = decoding > 0 ? this->spec.prefillChunk : this->spec.prefillChunkWithoutDecoding;
   int prefill = 0;
   std::stable_sort(this->running.begin(), this->running.end(),
                    [](const Sequence& aLeft, const Sequence& aRight) {
                      return aLeft.job.priority > aRight.job.priority;
                    });
   for (Sequence& sequence : this->running) {
-    if (!sequence.begun && budget > 0) {
+    if (!sequence.prefillStarted && budget > 0) {
       this->BeginPrefill(sequence);
     }
     sequence.chunk = std::min(budget, sequence.prefillLeft);
@@ -101,7 +101,7 @@
   sequence.job = aJob;
   sequence.prefillLeft = aJob.promptTokens + aJob.resumedTokens;
   if (aJob.imported) {
-    sequence.begun = true;
+    sequence.prefillStarted = true;
     sequence.prefillLeft = 0;
     for (const std::uint64_t block : aJob.blocks) {
       this->Store(block);
@@ -114,17 +114,17 @@
 EngineFake::BeginPrefill(Sequence& aSequence)
 {
   const EngineJob& job = aSequence.job;
-  aSequence.begun = true;
-  aSequence.blocksDone = this->CachedBlocks(job.blocks);
+  aSequence.prefillStarted = true;
+  aSequence.blocksDone = this->TouchCachedBlocks(job.blocks);
   const int cached = static_cast<int>(aSequence.blocksDone) * kBlockTokens;
   aSequence.prefillLeft = std::max(job.promptTokens + job.resumedTokens - cached, 1);
 
-  // What was generated elsewhere is read again
+  // Tokens generated on another host are prefilled again
   this->computed.recomputedTokens += job.resumedTokens;
 }
 
 std::size_t
-EngineFake::CachedBlocks(std::span<const std::uint64_t> aBlocks)
+EngineFake::TouchCachedBlocks(std::span<const std::uint64_t> aBlocks)
 {
   std::size_t count = 0;
   while (count < aBlocks.size() && this->cache.count(aBlocks[count]) > 0) {
@@ -137,7 +137,7 @@
 void
 EngineFake::StoreBlocks(Sequence& aSequence)
 {
-  // Blocks that the prefill has passed by now
+  // Blocks completed by the prefill so far
   const EngineJob& job = aSequence.job;
   const int done = job.promptTokens + job.resumedTokens - aSequence.prefillLeft;
   const auto reached =
@@ -156,16 +156,16 @@
 {
   const auto known = this->cache.find(aBlock);
   if (known != this->cache.end()) {
-    this->recent.splice(this->recent.begin(), this->recent, known->second);
+    this->lruBlocks.splice(this->lruBlocks.begin(), this->lruBlocks, known->second);
     return;
   }
-  this->recent.push_front(aBlock);
-  this->cache.emplace(aBlock, this->recent.begin());
+  this->lruBlocks.push_front(aBlock);
+  this->cache.emplace(aBlock, this->lruBlocks.begin());
   this->stored.push_back(aBlock);
   if (this->cache.size() > static_cast<std::size_t>(this->spec.cacheBlocks)) {
-    this->evicted.push_back(this->recent.back());
-    this->cache.erase(this->recent.back());
-    this->recent.pop_back();
+    this->evicted.push_back(this->lruBlocks.back());
+    this->cache.erase(this->lruBlocks.back());
+    this->lruBlocks.pop_back();
   }
 }
 
--- a/Bench/Decisions/EngineFake.h
+++ b/Bench/Decisions/EngineFake.h
@@ -13,7 +13,7 @@
 
 namespace lagoonward::bench {
 
-/// How fast and large a fake engine is.
+/// Speed, capacity and price of a simulated engine.
 struct EngineSpec
 {
   std::string id;
@@ -23,33 +23,34 @@
   double prefillTokensPerSecond = 8000;
   double stepBaseSeconds = 0.012;
   double stepPerSequenceSeconds = 0.0008;
-  int sequences = 24; ///< Run at once; more wait.
-  int cacheBlocks =
-    3000; ///< Blocks of 64 tokens in the prefix cache, least recently used go first.
-  int prefillChunk = 256;  ///< Prompt tokens computed in a step beside running answers.
-  int prefillAlone = 2048; ///< The same while nothing is being decoded.
+  int sequences = 24; ///< Maximum number of running sequences; others wait.
+  /// Capacity of the prefix cache in blocks of 64 tokens; least recently used are evicted.
+  int cacheBlocks = 3000;
+  int prefillChunk = 256; ///< Maximum prefill tokens per step while sequences are decoding.
+  /// Maximum prefill tokens per step while no sequence is decoding.
+  int prefillChunkWithoutDecoding = 2048;
 };
 
-/// One attempt as it is handed to an engine. The views must live until it is over.
+/// An attempt submitted to an engine. The memory behind the views must stay valid until it has ended.
 struct EngineJob
 {
   std::uint32_t attempt = 0;
   int priority = 0;
-  std::span<const std::uint64_t> blocks; ///< Of the prompt.
+  std::span<const std::uint64_t> blocks; ///< Block hashes of the prompt.
   int promptTokens = 0;
-  int resumedTokens = 0; ///< Generated elsewhere; to be read again behind the prompt.
-  int outputTokens = 0;  ///< Still to be generated.
-  bool imported = false; ///< Its KV cache came along: nothing to read.
+  int resumedTokens = 0; ///< Generated on another host; part of the prefill, after the prompt.
+  int outputTokens = 0;  ///< Remaining tokens to generate.
+  bool imported = false; ///< Its KV cache was transferred; no prefill is needed.
 };
 
-/// A token that a step has brought.
+/// A token generated in a step.
 struct EngineToken
 {
   std::uint32_t attempt = 0;
   bool last = false;
 };
 
-/// Which blocks have been computed by any engine of a run; a second time is a recomputation.
+/// Blocks that have been computed by any engine of a run. Computing a block again counts as recomputation.
 struct ComputedBlocks
 {
   std::unordered_set<std::uint64_t> blocks;
@@ -57,28 +58,32 @@
   std::int64_t prefilledTokens = 0;
 };
 
-/// A model engine that batches continuously, in steps of virtual time: waiting jobs start by priority, each step brings one token to every
-/// sequence that is decoding and a chunk of prefill to the foremost prompt. Prompt prefixes are cached in limited memory.
+/// Model engine with continuous batching, simulated in steps of virtual time. Waiting jobs start in order of
+/// priority. Each step generates one token for every decoding sequence and spends a budget of prefill tokens on the
+/// prompts in order of priority. Prompt prefixes are cached in a bounded LRU cache. Not thread-safe. Times are in
+/// seconds.
 class EngineFake
 {
 public:
   EngineFake(const EngineSpec& aSpec, ComputedBlocks& aComputed);
 
+  /// Queues a job by priority, after earlier jobs of the same priority.
   void Submit(const EngineJob& aJob);
+  /// Removes a waiting or running job.
   void Cancel(std::uint32_t aAttempt);
 
-  /// Begins a step if there is work and none is in progress.
-  /// @return its length in seconds, zero if none began
+  /// Begins a step if there is work and no step is in progress.
+  /// @return duration of the step in seconds; zero if none began
   [[nodiscard]] double BeginStep();
 
-  /// Ends the step in progress; its tokens are appended.
+  /// Ends the step in progress and appends its tokens.
   void EndStep(std::vector<EngineToken>& aTokens);
 
   [[nodiscard]] const EngineSpec& Spec() const { return this->spec; }
   [[nodiscard]] int Waiting() const { return static_cast<int>(this->waiting.size()); }
   [[nodiscard]] int Running() const { return static_cast<int>(this->running.size()); }
 
-  /// Cache events since the last call.
+  /// Blocks stored or evicted since the last call.
   [[nodiscard]] std::vector<std::uint64_t> TakeStored();
   [[nodiscard]] std::vector<std::uint64_t> TakeEvicted();
 
@@ -86,18 +91,20 @@
   struct Sequence
   {
     EngineJob job;
-    bool begun =
-      false; ///< Its prefill has had a chunk; what was cached by then need not be computed.
+    bool prefillStarted = false; ///< Prefill has started; blocks cached at that time are skipped.
     int prefillLeft = 0;
     std::size_t blocksDone = 0;
     int produced = 0;
-    int chunk = 0; ///< Prefill given to it in this step.
+    int chunk = 0; ///< Prefill tokens computed in this step.
   };
 
   void Start(const EngineJob& aJob);
   void BeginPrefill(Sequence& aSequence);
-  [[nodiscard]] std::size_t CachedBlocks(std::span<const std::uint64_t> aBlocks);
+  /// Counts the leading blocks that are cached and marks them as recently used.
+  [[nodiscard]] std::size_t TouchCachedBlocks(std::span<const std::uint64_t> aBlocks);
+  /// Stores the blocks that the prefill has completed.
   void StoreBlocks(Sequence& aSequence);
+  /// Adds a block to the cache or marks it as recently used; may evict another one.
   void Store(std::uint64_t aBlock);
 
   EngineSpec spec;
@@ -105,7 +112,7 @@
   std::deque<EngineJob> waiting; ///< By priority, then by arrival.
   std::vector<Sequence> running;
   bool inStep = false;
-  std::list<std::uint64_t> recent; ///< Cached blocks, latest used first.
+  std::list<std::uint64_t> lruBlocks; ///< Cached blocks, most recently used first.
   std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator> cache;
   std::vector<std::uint64_t> stored;
   std::vector<std::uint64_t> evicted;
--- a/Bench/Decisions/LagoonwardPolicy.cpp
+++ b/Bench/Decisions/LagoonwardPolicy.cpp
@@ -37,41 +37,43 @@
 }
 
 RouteRequest
-LagoonwardPolicy::ToRouteRequest(const Ask& aAsk) const
+LagoonwardPolicy::ToRouteRequest(const Ask& aPlacementRequest) const
 {
-  const WorkItem& item = *aAsk.item;
+  const WorkItem& item = *aPlacementRequest.item;
   const ManifestClass& requestClass = this->deployment.manifest.classes[item.classIndex];
   RouteRequest request;
   request.service = item.service;
   if (item.service.empty()) {
     request.model = this->deployment.manifest.models.front().name;
-    request.firstToken = aAsk.relayedTokens == 0 ? requestClass.firstToken : Milliseconds::zero();
+    request.firstToken =
+      aPlacementRequest.relayedTokens == 0 ? requestClass.firstToken : Milliseconds::zero();
     request.betweenTokens = requestClass.betweenTokens;
   }
   request.priority = requestClass.priority;
-  request.promptTokens = aAsk.imported ? 0 : item.promptTokens + aAsk.relayedTokens;
-  request.expectedOutputTokens = std::max(item.expectedOutput - aAsk.relayedTokens, 1);
+  request.promptTokens =
+    aPlacementRequest.imported ? 0 : item.promptTokens + aPlacementRequest.relayedTokens;
+  request.expectedOutputTokens = std::max(item.expectedOutput - aPlacementRequest.relayedTokens, 1);
   request.prefixBlocks = item.blocks;
   request.objective = this->objective;
 
-  // What has been accepted goes on even when it will be late
-  if (aAsk.attempt == 0) {
-    request.deadline = aAsk.deadline;
+  // Accepted requests are continued even if they will miss their deadline
+  if (aPlacementRequest.attempt == 0) {
+    request.deadline = aPlacementRequest.deadline;
   }
   return request;
 }
 
 Result<void>
-LagoonwardPolicy::Admit(const Ask& aAsk)
+LagoonwardPolicy::Admit(const Ask& aPlacementRequest)
 {
-  Running& entry = this->running[aAsk.request];
-  entry.daemon = aAsk.item->daemon;
+  Running& entry = this->running[aPlacementRequest.request];
+  entry.daemon = aPlacementRequest.item->daemon;
   const Daemon& daemon = this->daemons[entry.daemon];
-  const RouteRequest request = this->ToRouteRequest(aAsk);
+  const RouteRequest request = this->ToRouteRequest(aPlacementRequest);
   daemon.admission->SetPressure(daemon.router->Pressure(request));
   const Manifest& manifest = this->deployment.manifest;
   AdmissionRequest admission;
-  admission.client = manifest.clients[aAsk.item->client].name;
+  admission.client = manifest.clients[aPlacementRequest.item->client].name;
   admission.rank = this->view.table->RankOf(request.priority);
   admission.tokens = request.promptTokens + request.expectedOutputTokens;
   auto ticket = daemon.admission->Admit(admission);
@@ -83,15 +85,16 @@
 }
 
 Result<Placement>
-LagoonwardPolicy::Place(const Ask& aAsk)
+LagoonwardPolicy::Place(const Ask& aPlacementRequest)
 {
-  Running& entry = this->running[aAsk.request];
+  Running& entry = this->running[aPlacementRequest.request];
   Router& router = *this->daemons[entry.daemon].router;
-  RouteRequest request = this->ToRouteRequest(aAsk);
+  RouteRequest request = this->ToRouteRequest(aPlacementRequest);
   std::array<std::string_view, 1> excluded;
-  if (aAsk.failedHost >= 0) {
+  if (aPlacementRequest.failedHost >= 0) {
     for (std::size_t target = 0; target < this->view.hostOfTarget.size(); ++target) {
-      if (this->view.hostOfTarget[target] == static_cast<std::uint32_t>(aAsk.failedHost)) {
+      if (this->view.hostOfTarget[target] ==
+          static_cast<std::uint32_t>(aPlacementRequest.failedHost)) {
         excluded[0] = this->view.table->Targets()[target].id;
         request.excludedEndpoints = excluded;
       }
@@ -99,7 +102,7 @@
   }
   const auto choice = router.Choose(request);
   if (!choice) {
-    if (aAsk.attempt == 0) {
+    if (aPlacementRequest.attempt == 0) {
       entry.ticket.reset();
     }
     return choice.error();
@@ -134,15 +137,15 @@
 }
 
 void
-LagoonwardPolicy::OnAnswered(std::uint32_t aRequest, bool aMet)
+LagoonwardPolicy::OnCompleted(std::uint32_t aRequest, bool aMet)
 {
   this->running[aRequest].ticket->ReportTargets(aMet);
 }
 
 bool
-LagoonwardPolicy::MayRetry(const Ask& aAsk)
+LagoonwardPolicy::MayRetry(const Ask& aPlacementRequest)
 {
-  return this->daemons[aAsk.item->daemon].retries->TryTake();
+  return this->daemons[aPlacementRequest.item->daemon].retries->TryTake();
 }
 
 void
--- a/Bench/Decisions/LagoonwardPolicy.h
+++ b/Bench/Decisions/LagoonwardPolicy.h
@@ -12,32 +12,35 @@
 
 namespace lagoonward::bench {
 
-/// The decision modules themselves: for each daemon a router, an admission and a retry budget.
+/// Policy that runs the production decision modules: a Router, an Admission and a RetryBudget for each daemon.
 class LagoonwardPolicy
 {
 public:
   static constexpr bool kResumes = true;
-  static constexpr double kNoticeDelay = 0.5; ///< Seconds from a notice until every daemon knows.
-  static constexpr double kSilenceBudget = 2; ///< Seconds without a token before a new connection.
+  /// Seconds from a reclaim notice until every daemon has received it.
+  static constexpr double kNoticeDelay = 0.5;
+  /// Seconds without a token before the daemon reconnects.
+  static constexpr double kStallTimeout = 2;
 
   LagoonwardPolicy(const Deployment& aDeployment, const Tuning& aTuning, const Clock& aClock,
                    std::uint64_t aSeed, std::size_t aRequests);
 
   void OnView(const FleetView& aView);
-  [[nodiscard]] Result<void> Admit(const Ask& aAsk);
-  [[nodiscard]] Result<Placement> Place(const Ask& aAsk);
+  [[nodiscard]] Result<void> Admit(const Ask& aPlacementRequest);
+  [[nodiscard]] Result<Placement> Place(const Ask& aPlacementRequest);
   void OnToken(std::uint32_t aRequest);
 
-  /// @param aDone  whether the request is over, not just the attempt
+  /// @param aDone  whether the request has ended, not only the attempt
   void OnEnd(std::uint32_t aRequest, AttemptEnd aEnd, bool aDone);
 
-  /// The request was answered whole, with or without its targets met. Comes before its OnEnd().
-  void OnAnswered(std::uint32_t aRequest, bool aMet);
-  [[nodiscard]] bool MayRetry(const Ask& aAsk);
+  /// The request has completed successfully. Called before its OnEnd().
+  /// @param aMet  whether its targets were met
+  void OnCompleted(std::uint32_t aRequest, bool aMet);
+  [[nodiscard]] bool MayRetry(const Ask& aPlacementRequest);
   void OnCacheEvents(std::string_view aEndpoint, std::span<const std::uint64_t> aStored,
                      std::span<const std::uint64_t> aEvicted, bool aGap);
 
-  /// The daemons exchange their heartbeats.
+  /// Exchanges the demand of the daemons, which their heartbeats carry.
   void OnHeartbeat();
 
 private:
@@ -48,7 +51,7 @@
     std::unique_ptr<RetryBudget> retries;
   };
 
-  /// What a daemon keeps of a running request.
+  /// State of a running request in its daemon.
   struct Running
   {
     std::size_t daemon = 0;
@@ -56,13 +59,14 @@
     std::optional<Ticket> ticket;
   };
 
-  [[nodiscard]] RouteRequest ToRouteRequest(const Ask& aAsk) const;
+  [[nodiscard]] RouteRequest ToRouteRequest(const Ask& aPlacementRequest) const;
 
   const Deployment& deployment;
   ManifestObjective objective;
 
   std::vector<Daemon> daemons;
-  std::vector<Running> running; ///< By request. After `daemons`, whose admissions the tickets use.
+  /// By request. Declared after `daemons`, because the tickets refer to their admissions.
+  std::vector<Running> running;
   FleetView view;
 };
 
--- a/Bench/Decisions/Policy.h
+++ b/Bench/Decisions/Policy.h
@@ -10,33 +10,34 @@
 
 namespace lagoonward::bench {
 
-/// What a policy is told of the fleet: the daemons' common, lagging view.
+/// The delayed view of the fleet that all daemons share.
 struct FleetView
 {
   RoutingTablePtr table;
-  std::vector<std::uint32_t> hostOfTarget; ///< The run's host for each of the table's targets.
+  std::vector<std::uint32_t> hostOfTarget; ///< Index into World::hosts, by target of the table.
 };
 
-/// One attempt that a policy is asked to place.
+/// Request to a policy to admit or place one attempt.
 struct Ask
 {
   std::uint32_t request = 0;
   const WorkItem* item = nullptr;
-  int relayedTokens = 0;        ///< Tokens the caller already has.
-  int attempt = 0;              ///< 0 the first.
-  std::int64_t failedHost = -1; ///< Where the last attempt failed.
-  bool imported = false;        ///< The KV cache comes along: nothing has to be read.
+  int relayedTokens = 0; ///< Tokens that the caller has already received.
+  int attempt = 0;       ///< 0 for the first.
+  /// Host of the previous attempt, excluded from placement; -1 for none.
+  std::int64_t failedHost = -1;
+  bool imported = false; ///< The KV cache is transferred; no prefill is needed.
   TimePoint deadline;
 };
 
-/// Where an attempt goes.
+/// Host and priority that a policy has chosen for an attempt.
 struct Placement
 {
   std::uint32_t host = 0;
-  int priority = 0; ///< Sent to the engine.
+  int priority = 0; ///< Passed to the engine.
 };
 
-/// How an attempt ended, for the policy that placed it.
+/// Outcome of an attempt, reported to the policy that placed it.
 enum class AttemptEnd
 {
   Completed,
@@ -44,10 +45,12 @@
   Moved,
 };
 
-/// What stands behind the daemons of one run: where requests go and what is done when an attempt fails. kResumes: a
-/// new attempt goes on behind the relayed tokens; otherwise it starts from scratch, as proxies do.
+/// The decisions of all daemons of one run: admission, placement and retries.
+/// kResumes: a new attempt continues after the relayed tokens; otherwise it starts from scratch, as proxies do.
+/// kNoticeDelay: seconds from a reclaim notice until the daemons see it.
+/// kStallTimeout: seconds without a token before a connection is treated as stalled.
 template<typename Type>
-concept RoutePolicy = requires(Type aPolicy, const FleetView& aView, const Ask& aAsk,
+concept RoutePolicy = requires(Type aPolicy, const FleetView& aView, const Ask& aPlacementRequest,
                                std::uint32_t aRequest, std::span<const std::uint64_t> aBlocks)
 {
   {
@@ -57,20 +60,20 @@
     Type::kNoticeDelay
     } -> std::convertible_to<double>;
   {
-    Type::kSilenceBudget
+    Type::kStallTimeout
     } -> std::convertible_to<double>;
   aPolicy.OnView(aView);
   {
-    aPolicy.Admit(aAsk)
+    aPolicy.Admit(aPlacementRequest)
     } -> std::same_as<Result<void>>;
   {
-    aPolicy.Place(aAsk)
+    aPolicy.Place(aPlacementRequest)
     } -> std::same_as<Result<Placement>>;
   aPolicy.OnToken(aRequest);
   aPolicy.OnEnd(aRequest, AttemptEnd::Completed, true);
-  aPolicy.OnAnswered(aRequest, true);
+  aPolicy.OnCompleted(aRequest, true);
   {
-    aPolicy.MayRetry(aAsk)
+    aPolicy.MayRetry(aPlacementRequest)
     } -> std::same_as<bool>;
   aPolicy.OnCacheEvents(std::string_view(), aBlocks, aBlocks, false);
   aPolicy.OnHeartbeat();
--- a/Bench/Decisions/Random.h
+++ b/Bench/Decisions/Random.h
@@ -5,7 +5,7 @@
 
 namespace lagoonward::bench {
 
-/// A small generator whose numbers are the same with every compiler and library (splitmix64).
+/// splitmix64 generator. Gives the same sequence with every compiler and standard library. Not thread-safe.
 class Random
 {
 public:
@@ -33,7 +33,7 @@
     return aLow + static_cast<int>(this->Next() % width);
   }
 
-  /// Exponentially distributed.
+  /// Exponentially distributed with the given mean.
   [[nodiscard]] double Exponential(double aMean) { return -aMean * std::log(1 - this->Unit()); }
 
 private:
--- a/Bench/Decisions/Report.cpp
+++ b/Bench/Decisions/Report.cpp
@@ -13,7 +13,8 @@
 
 constexpr double kPercent = 100;
 
-/// Rounds so that figures read well and do not depend on the last bits.
+/// Rounds to a multiple of aUnit, so that reports are readable and independent of floating-point rounding in the last
+/// bits.
 double
 Round(double aValue, double aUnit)
 {
@@ -32,7 +33,7 @@
   return accepted > 0 ? met / accepted : 1;
 }
 
-/// Where a value falls on an axis.
+/// Linear mapping of values to coordinates.
 struct Axis
 {
   double low = 0;
@@ -47,9 +48,9 @@
   }
 };
 
-/// Distinct policies in the order of their runs, and the colour of each.
+/// Distinct policies in the order of their first run.
 std::vector<std::string>
-PoliciesOf(std::span<const RunResult> aResults)
+ListPolicies(std::span<const RunResult> aResults)
 {
   std::vector<std::string> policies;
   for (const RunResult& result : aResults) {
@@ -61,7 +62,7 @@
 }
 
 const char*
-ColourOf(std::size_t aIndex)
+PolicyColour(std::size_t aIndex)
 {
   constexpr std::array<const char*, 7> kColours{ "#1b6ca8", "#c0392b", "#27ae60", "#8e44ad",
                                                  "#e67e22", "#7f8c8d", "#2c3e50" };
@@ -127,39 +128,41 @@
 ToSvg(std::span<const RunResult> aResults)
 {
   constexpr double kPanel = 360;
-  const auto policies = PoliciesOf(aResults);
-  double dearest = 0;
-  double worst = 1;
-  double most = 1;
+  const auto policies = ListPolicies(aResults);
+  double highestCost = 0;
+  double lowestAttainment = 1;
+  double highestRecomputed = 1;
   for (const RunResult& run : aResults) {
-    dearest = std::max(dearest, run.CostAtTarget());
-    worst = std::min(worst, MeanAttainment(run));
-    most = std::max(most, static_cast<double>(run.tokensRecomputed));
+    highestCost = std::max(highestCost, run.CostAtTarget());
+    lowestAttainment = std::min(lowestAttainment, MeanAttainment(run));
+    highestRecomputed = std::max(highestRecomputed, static_cast<double>(run.tokensRecomputed));
   }
-  const Axis cost{ 0, dearest, 60, kPanel };
-  const Axis attainment{ worst, 1, kPanel, 40 };
-  const Axis recomputed{ 0, most, kPanel, 40 };
+  const Axis cost{ 0, highestCost, 60, kPanel };
+  const Axis attainment{ lowestAttainment, 1, kPanel, 40 };
+  const Axis recomputed{ 0, highestRecomputed, kPanel, 40 };
 
   std::string svg = "<svg xmlns=\"http://www.w3.org/2000/svg\" width=\"860\" height=\"430\" "
                     "font-family=\"sans-serif\" font-size=\"11\">\n"
                     "<rect width=\"860\" height=\"430\" fill=\"white\"/>\n";
   svg += fmt::format("<text x=\"60\" y=\"20\">cost per million tokens at target (0 to {:.2f}) "
                      "against attainment ({:.0f}% to 100%)</text>\n",
-                     dearest, worst * kPercent);
-  svg += fmt::format("<text x=\"450\" y=\"20\">tokens recomputed (0 to {:.0f})</text>\n", most);
+                     highestCost, lowestAttainment * kPercent);
+  svg += fmt::format("<text x=\"450\" y=\"20\">tokens recomputed (0 to {:.0f})</text>\n",
+                     highestRecomputed);
   svg += "<path d=\"M60 40V360H360M450 40V360H700\" fill=\"none\" stroke=\"black\"/>\n";
   for (const RunResult& run : aResults) {
     const auto index = static_cast<std::size_t>(
       std::find(policies.begin(), policies.end(), run.policy) - policies.begin());
+    svg += fmt::format("<circle cx=\"{:.1f}\" cy=\"{:.1f}\" r=\"4\" fill=\"{}\"/>\n",
+                       cost.At(run.CostAtTarget()), attainment.At(MeanAttainment(run)),
+                       PolicyColour(index));
     svg +=
-      fmt::format("<circle cx=\"{:.1f}\" cy=\"{:.1f}\" r=\"4\" fill=\"{}\"/>\n",
-                  cost.At(run.CostAtTarget()), attainment.At(MeanAttainment(run)), ColourOf(index));
-    svg += fmt::format("<circle cx=\"{}\" cy=\"{:.1f}\" r=\"4\" fill=\"{}\"/>\n", 470 + 34 * index,
-                       recomputed.At(static_cast<double>(run.tokensRecomputed)), ColourOf(index));
+      fmt::format("<circle cx=\"{}\" cy=\"{:.1f}\" r=\"4\" fill=\"{}\"/>\n", 470 + 34 * index,
+                  recomputed.At(static_cast<double>(run.tokensRecomputed)), PolicyColour(index));
   }
   for (std::size_t index = 0; index < policies.size(); ++index) {
     svg += fmt::format("<text x=\"720\" y=\"{}\" fill=\"{}\">{}</text>\n", 60 + 18 * index,
-                       ColourOf(index), policies[index]);
+                       PolicyColour(index), policies[index]);
   }
   return svg + "</svg>\n";
 }
--- a/Bench/Decisions/Report.h
+++ b/Bench/Decisions/Report.h
@@ -7,15 +7,15 @@
 
 namespace lagoonward::bench {
 
-/// One JSON object on one line.
+/// Formats a run as a JSON object on one line.
 [[nodiscard]] std::string
 ToJson(const RunResult& aResult);
 
-/// A text table of runs, one line each.
+/// Formats runs as a text table, one line per run.
 [[nodiscard]] std::string
 ToTable(std::span<const RunResult> aResults);
 
-/// An SVG with two panels: cost at target against attainment, and tokens recomputed, by policy.
+/// Formats runs as an SVG with two panels: cost at target against attainment, and recomputed tokens by policy.
 [[nodiscard]] std::string
 ToSvg(std::span<const RunResult> aResults);
 
--- a/Bench/Decisions/RunResult.h
+++ b/Bench/Decisions/RunResult.h
@@ -6,24 +6,24 @@
 
 namespace lagoonward::bench {
 
-/// What one class of a run got.
+/// Results of one class in a run.
 struct ClassResult
 {
   std::string name;
   int offered = 0;
   int accepted = 0;
-  int met = 0; ///< Answered whole with both targets met.
+  int met = 0; ///< Completed with both targets met.
   double firstTokenP95Ms = 0;
   double betweenTokensP95Ms = 0;
 
-  /// Part of the accepted requests that met their targets.
+  /// Fraction of the accepted requests that met their targets.
   [[nodiscard]] double Attainment() const
   {
     return this->accepted > 0 ? static_cast<double>(this->met) / this->accepted : 1;
   }
 };
 
-/// What one run came to. Field meanings: docs/DECISIONS.md.
+/// Results of one run. docs/DECISIONS.md describes the fields.
 struct RunResult
 {
   std::string deployment;
--- a/Bench/Decisions/Scenario.cpp
+++ b/Bench/Decisions/Scenario.cpp
@@ -45,7 +45,7 @@
                       { length * 0.8, 1 } };
     scenario.reclaims = { { length * 0.5, domains[0], 10, 60 } };
   } else if (aName == "price_shift") {
-    // The cheapest domain becomes the dearest, then prices turn again
+    // The cheapest domain becomes the most expensive one, then the order of prices changes again
     scenario.prices = { { length / 3, domains[2], 2 },
                         { length / 3, domains[0], 0.6 },
                         { length * 2 / 3, domains[2], 1 },
@@ -62,7 +62,7 @@
     scenario.cacheLag = 12;
     scenario.gapChance = 0.2;
   } else if (aName == "hot_prefix") {
-    scenario.hotShare = 0.5;
+    scenario.hotDocumentFraction = 0.5;
   } else if (aName == "overload") {
     scenario.load = { { 0, 1 }, { length * 0.2, 4.3 }, { length * 0.8, 1 } };
   } else if (aName == "overload_5x") {
--- a/Bench/Decisions/Scenario.h
+++ b/Bench/Decisions/Scenario.h
@@ -9,44 +9,46 @@
 
 namespace lagoonward::bench {
 
-/// A failure domain's hosts go.
+/// Reclaim of all engines of a failure domain.
 struct ReclaimEvent
 {
-  double at = 0; ///< Seconds from the start, when the notice is given.
+  double at = 0; ///< Time of the notice, in seconds from the start.
   std::string failureDomain;
-  double grace = 10;         ///< Seconds of notice.
-  double replacedAfter = 60; ///< Seconds from the notice until replacements stand in other domains.
+  double grace = 10; ///< Seconds from the notice until termination.
+  /// Seconds from the notice until replacements in other domains are ready.
+  double replacementDelay = 60;
 };
 
-/// A domain's prices change.
+/// Price change of a failure domain.
 struct PriceEvent
 {
-  double at = 0;
+  double at = 0; ///< Seconds from the start.
   std::string failureDomain;
-  double factor = 1;
+  double factor = 1; ///< Relative to EngineSpec::pricePerHour.
 };
 
-/// Offered load over the ordinary one, from a moment on.
+/// Factor of the offered load relative to the deployment's nominal load, from a point in time on.
 struct LoadPhase
 {
-  double from = 0;
+  double from = 0; ///< Seconds from the start.
   double factor = 1;
 };
 
-/// What happens in one run.
+/// Load, faults and delays of one run.
 struct Scenario
 {
   std::string name;
   std::vector<LoadPhase> load{ { 0, 1 } };
-  double reportLag = 1;    ///< Seconds from a load reading until daemons see it.
-  double cacheLag = 2;     ///< The same for cache events.
-  double gapChance = 0.02; ///< Chance that a batch of cache events is lost.
-  double hotShare = 0;     ///< Part of the document requests that are about one document.
+  double reportLag = 1;           ///< Seconds from a load sample until daemons see it.
+  double cacheLag = 2;            ///< The same for cache events.
+  double gapChance = 0.02;        ///< Probability that a batch of cache events is lost.
+  double hotDocumentFraction = 0; ///< Fraction of the document requests that use the same document.
   std::vector<ReclaimEvent> reclaims;
   std::vector<PriceEvent> prices;
-  std::vector<double>
-    silences; ///< Moments at which one engine's and one service's open connections fall silent.
+  /// Times at which the open connections of one engine and one service stall, in seconds.
+  std::vector<double> silences;
 
+  /// Load factor at a time in seconds from the start.
   [[nodiscard]] double LoadAt(double aSeconds) const;
 };
 
@@ -54,8 +56,7 @@
 [[nodiscard]] std::span<const std::string_view>
 ScenarioNames();
 
-/// One scenario, fitted to a deployment's length and domains. The name must be one of
-/// ScenarioNames().
+/// Creates a scenario with times and domains scaled to a deployment. The name must be one of ScenarioNames().
 [[nodiscard]] Scenario
 MakeScenario(std::string_view aName, const Deployment& aDeployment);
 
--- a/Bench/Decisions/Simulation.h
+++ b/Bench/Decisions/Simulation.h
@@ -8,32 +8,33 @@
 
 namespace lagoonward::bench {
 
-/// One request's way through a run.
+/// State of one request.
 struct RequestState
 {
   bool done = false;
   bool accepted = false;
-  int relayed = 0;  ///< Tokens that the caller has.
-  int attempts = 0; ///< Placed so far.
-  int begun = 0;    ///< For plain services: hosts that have begun it.
+  int relayed = 0;  ///< Tokens that the caller has received.
+  int attempts = 0; ///< Number of attempts placed so far.
+  int begun = 0;    ///< For plain services: number of times that a host has started it.
   double firstTokenAt = 0;
   double lastTokenAt = 0;
-  std::uint32_t attempt = 0; ///< The current one.
+  std::uint32_t attempt = 0; ///< Index of the current attempt.
 };
 
-/// One attempt at a host.
+/// State of one attempt on a host.
 struct AttemptState
 {
   std::uint32_t request = 0;
   std::uint32_t host = 0;
   bool live = true;
-  bool silent = false;
-  bool finished = false; ///< Its engine has sent the last token.
-  int produced = 0;      ///< Index behind the last token, over the whole answer.
-  EngineJob job;         ///< Kept while its KV cache is on the way.
+  bool silent = false;   ///< Its connection has stalled; tokens do not arrive.
+  bool finished = false; ///< Its engine has generated the last token.
+  int produced = 0; ///< Tokens of the answer generated so far, including those of earlier attempts.
+  EngineJob job;    ///< Submitted when the transfer of the KV cache has ended.
 };
 
-/// One run: the workload against the fleet, under one policy.
+/// Discrete-event simulation of one run: the workload is served by the fleet under one policy. Deterministic for a
+/// seed; single-threaded. Times are in seconds.
 template<RoutePolicy Policy>
 class Simulation
 {
@@ -43,8 +44,8 @@
     : world(aDeployment, aScenario, aSeed)
     , items(MakeWorkload(aDeployment, aScenario, aSeed))
     , requests(items.size())
-    , firstTokens(aDeployment.manifest.classes.size())
-    , gaps(aDeployment.manifest.classes.size())
+    , firstTokenDelays(aDeployment.manifest.classes.size())
+    , tokenIntervals(aDeployment.manifest.classes.size())
     , moves(aTuning.moves)
     , policy(aDeployment, aTuning, world.clock, aSeed, items.size())
   {
@@ -60,59 +61,62 @@
   [[nodiscard]] RunResult Run()
   {
     this->ScheduleAll();
-    this->open = this->items.size();
-    while (this->open > 0) {
+    this->openRequests = this->items.size();
+    while (this->openRequests > 0) {
       const auto event = this->world.Next();
       if (!event) {
         break;
       }
       this->Handle(*event);
     }
-    return this->Finish();
+    return this->CollectResult();
   }
 
 private:
-  static constexpr double kSampleEvery = 0.5;
-  static constexpr double kHeartbeatEvery = 1;
-  static constexpr double kReplanEvery = 1;
+  static constexpr double kSampleInterval = 0.5;
+  static constexpr double kHeartbeatInterval = 1;
+  static constexpr double kReplanInterval = 1;
   static constexpr double kServiceSeconds = 0.02;
-  static constexpr double kRetryPause = 0.1; ///< Doubled with each attempt.
-  static constexpr double kPlacePause =
-    0.25; ///< Before an accepted request looks for an endpoint again.
-  static constexpr double kUnknownStep = 0.03; ///< Assumed until two tokens of a stream have come.
+  /// Delay before the first retry; doubled with each attempt.
+  static constexpr double kRetryDelay = 0.1;
+  /// Delay before placement of an accepted request is retried.
+  static constexpr double kPlacementRetryDelay = 0.25;
+  /// Step time assumed until a stream has two tokens.
+  static constexpr double kDefaultStepSeconds = 0.03;
 
   void ScheduleAll();
   void Handle(const Event& aEvent);
   void HandleFleet(const Event& aEvent);
   void OnArrival(std::uint32_t aRequest);
-  [[nodiscard]] Ask MakeAsk(std::uint32_t aRequest) const;
-  bool TryPlace(std::uint32_t aRequest, const Ask& aAsk, double aTransferSeconds);
+  [[nodiscard]] Ask MakePlacementRequest(std::uint32_t aRequest) const;
+  bool TryPlace(std::uint32_t aRequest, const Ask& aPlacementRequest, double aTransferSeconds);
   void OnStepEnd(std::uint32_t aHost);
   void OnProduced(std::uint32_t aAttempt, bool aLast);
   void Relay(std::uint32_t aAttempt);
   void Complete(std::uint32_t aAttempt);
-  void Close(std::uint32_t aRequest, bool aWhole);
+  void CloseRequest(std::uint32_t aRequest, bool aCompleted);
   [[nodiscard]] bool MetTargets(std::uint32_t aRequest) const;
   void FailAttempt(std::uint32_t aAttempt, bool aAnnounced);
   void OnRetry(std::uint32_t aRequest);
-  void OnGone(std::uint32_t aHost);
-  void Plan(std::uint32_t aHost);
+  void OnHostTerminated(std::uint32_t aHost);
+  void PlanMoves(std::uint32_t aHost);
   void OnMoveStart(std::uint32_t aAttempt, std::uint32_t aExtra);
   void OnMoveEnd(std::uint32_t aAttempt);
-  void OnSilence();
-  void OnSilenceOver(std::uint32_t aAttempt);
+  void OnConnectionStall();
+  void OnStallTimeout(std::uint32_t aAttempt);
   void OnDeadline(std::uint32_t aRequest);
-  [[nodiscard]] RunResult Finish();
+  [[nodiscard]] RunResult CollectResult();
 
   World world;
   std::vector<WorkItem> items;
   std::vector<RequestState> requests;
   std::vector<AttemptState> attempts;
-  std::vector<std::vector<float>> firstTokens; ///< Seconds, by class.
-  std::vector<std::vector<float>> gaps;        ///< Seconds, by class.
-  std::vector<EngineToken> tokens;             ///< Scratch.
-  std::vector<std::uint32_t> planOfHost;       ///< Number of the host's latest plan.
-  std::size_t open = 0;
+  std::vector<std::vector<float>> firstTokenDelays; ///< Seconds, by class.
+  std::vector<std::vector<float>> tokenIntervals;   ///< Seconds, by class.
+  std::vector<EngineToken> tokens;                  ///< Buffer reused for each step.
+  /// Number of the host's latest move plan; moves of older plans are ignored.
+  std::vector<std::uint32_t> planNumberOfHost;
+  std::size_t openRequests = 0;
   RunResult result;
   MoveSettings moves;
   Policy policy;
--- a/Bench/Decisions/SimulationEvents.h
+++ b/Bench/Decisions/SimulationEvents.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The events of Simulation, which is a template; included by Simulation.h only.
+// Event handling of the class template Simulation. Included only by Simulation.h.
 
 #include "Bench/Decisions/Simulation.h"
 
@@ -17,8 +17,8 @@
   for (std::uint32_t index = 0; index < scenario.reclaims.size(); ++index) {
     const ReclaimEvent& reclaim = scenario.reclaims[index];
     this->world.Schedule(reclaim.at, EventKind::Notice, index);
-    this->world.Schedule(reclaim.at + Policy::kNoticeDelay, EventKind::NoticeSeen, index);
-    this->world.Schedule(reclaim.at + reclaim.replacedAfter, EventKind::Replacement, index);
+    this->world.Schedule(reclaim.at + Policy::kNoticeDelay, EventKind::NoticeVisible, index);
+    this->world.Schedule(reclaim.at + reclaim.replacementDelay, EventKind::Replacement, index);
   }
   for (std::uint32_t index = 0; index < scenario.prices.size(); ++index) {
     this->world.Schedule(scenario.prices[index].at, EventKind::Price, index);
@@ -28,8 +28,8 @@
   }
   this->world.TakeSample();
   this->policy.OnView(this->world.MakeView());
-  this->world.Schedule(kSampleEvery, EventKind::Sample);
-  this->world.Schedule(kHeartbeatEvery, EventKind::Heartbeat);
+  this->world.Schedule(kSampleInterval, EventKind::Sample);
+  this->world.Schedule(kHeartbeatInterval, EventKind::Heartbeat);
 }
 
 template<RoutePolicy Policy>
@@ -50,15 +50,15 @@
     case EventKind::MoveEnd:
       return this->OnMoveEnd(aEvent.subject);
     case EventKind::Silence:
-      return this->OnSilence();
-    case EventKind::SilenceOver:
-      return this->OnSilenceOver(aEvent.subject);
+      return this->OnConnectionStall();
+    case EventKind::StallTimeout:
+      return this->OnStallTimeout(aEvent.subject);
     case EventKind::Deadline:
       return this->OnDeadline(aEvent.subject);
     case EventKind::Gone:
-      return this->OnGone(aEvent.subject);
+      return this->OnHostTerminated(aEvent.subject);
     case EventKind::Replan:
-      return this->Plan(aEvent.subject);
+      return this->PlanMoves(aEvent.subject);
     default:
       return this->HandleFleet(aEvent);
   }
@@ -72,25 +72,25 @@
   switch (aEvent.kind) {
     case EventKind::Sample:
       this->world.TakeSample();
-      this->world.CollectCacheNews();
+      this->world.CollectCacheUpdates();
       this->policy.OnView(this->world.MakeView());
-      this->world.Schedule(kSampleEvery, EventKind::Sample);
+      this->world.Schedule(kSampleInterval, EventKind::Sample);
       break;
     case EventKind::Heartbeat:
       this->policy.OnHeartbeat();
-      this->world.Schedule(kHeartbeatEvery, EventKind::Heartbeat);
+      this->world.Schedule(kHeartbeatInterval, EventKind::Heartbeat);
       break;
-    case EventKind::CacheNews: {
-      const CacheNews& news = this->world.cacheNews[aEvent.subject];
-      const std::string& id = this->world.hosts[news.host].id;
-      this->policy.OnCacheEvents(id, news.stored, news.evicted, news.gap);
-      this->world.cacheNews[aEvent.subject] = {};
+    case EventKind::CacheUpdate: {
+      const CacheUpdate& update = this->world.cacheUpdates[aEvent.subject];
+      const std::string& id = this->world.hosts[update.host].id;
+      this->policy.OnCacheEvents(id, update.stored, update.evicted, update.gap);
+      this->world.cacheUpdates[aEvent.subject] = {};
       break;
     }
     case EventKind::Notice:
       this->world.GiveNotice(scenario.reclaims[aEvent.subject]);
       break;
-    case EventKind::NoticeSeen:
+    case EventKind::NoticeVisible:
       for (std::uint32_t host = 0; host < this->world.hosts.size(); ++host) {
         HostState& state = this->world.hosts[host];
         if (state.noticed && !state.leaving) {
@@ -100,11 +100,11 @@
       }
       this->policy.OnView(this->world.MakeView());
       break;
-    case EventKind::Forgotten:
+    case EventKind::HostDelisted:
       this->world.hosts[aEvent.subject].forgotten = true;
       break;
     case EventKind::Replacement:
-      this->world.Replace(scenario.reclaims[aEvent.subject]);
+      this->world.AddReplacements(scenario.reclaims[aEvent.subject]);
       break;
     case EventKind::Price:
       this->world.ChangePrice(scenario.prices[aEvent.subject]);
@@ -116,7 +116,7 @@
 
 template<RoutePolicy Policy>
 void
-Simulation<Policy>::OnGone(std::uint32_t aHost)
+Simulation<Policy>::OnHostTerminated(std::uint32_t aHost)
 {
   this->world.hosts[aHost].gone = true;
   for (std::uint32_t attempt = 0; attempt < this->attempts.size(); ++attempt) {
@@ -128,14 +128,14 @@
 
 template<RoutePolicy Policy>
 void
-Simulation<Policy>::Plan(std::uint32_t aHost)
+Simulation<Policy>::PlanMoves(std::uint32_t aHost)
 {
   const HostState& host = this->world.hosts[aHost];
   if (!Policy::kResumes || host.gone) {
     return;
   }
-  this->planOfHost.resize(this->world.hosts.size());
-  const std::uint32_t number = ++this->planOfHost[aHost];
+  this->planNumberOfHost.resize(this->world.hosts.size());
+  const std::uint32_t number = ++this->planNumberOfHost[aHost];
   std::vector<std::uint32_t> streams;
   for (std::uint32_t attempt = 0; attempt < this->attempts.size(); ++attempt) {
     if (this->attempts[attempt].live && this->attempts[attempt].host == aHost) {
@@ -143,7 +143,8 @@
     }
   }
 
-  // The last slots go to those that may yet finish
+  // Streams with the fewest tokens left come first: the last slots before the termination go to those that may still
+  // finish
   const auto tokensLeft = [&](std::uint32_t aAttempt) {
     const std::uint32_t request = this->attempts[aAttempt].request;
     const int left = this->items[request].expectedOutput - this->requests[request].relayed;
@@ -153,7 +154,7 @@
     return tokensLeft(aLeft) < tokensLeft(aRight);
   });
   MoveState state;
-  state.secondsLeft = host.goneAt - this->world.Now();
+  state.secondsLeft = host.terminatesAt - this->world.Now();
   state.canTransfer = true;
   for (const std::uint32_t attempt : streams) {
     const std::uint32_t request = this->attempts[attempt].request;
@@ -161,20 +162,20 @@
     state.tokensLeft = tokensLeft(attempt);
     state.stepSeconds = running.relayed > 1
                           ? (running.lastTokenAt - running.firstTokenAt) / (running.relayed - 1)
-                          : kUnknownStep;
+                          : kDefaultStepSeconds;
     state.contextTokens = this->items[request].promptTokens + running.relayed;
     HostExitPlan plan = PlanMove(state, this->moves);
     if (plan.kind == HostExit::FinishInPlace) {
       continue;
     }
 
-    // A stream that has not begun has nothing to be transferred
+    // A stream without tokens has no KV cache to transfer
     const bool transfer = plan.kind == HostExit::Transfer && running.relayed > 0;
     state.laterTokens += transfer ? state.contextTokens : 0;
     const double start = running.relayed > 0 ? plan.startInSeconds : 0;
     this->world.Schedule(start, EventKind::MoveStart, attempt, number * 2 + (transfer ? 1 : 0));
   }
-  this->world.Schedule(kReplanEvery, EventKind::Replan, aHost);
+  this->world.Schedule(kReplanInterval, EventKind::Replan, aHost);
 }
 
 template<RoutePolicy Policy>
@@ -183,7 +184,7 @@
 {
   AttemptState& moving = this->attempts[aAttempt];
   const std::uint32_t host = moving.host;
-  if (!moving.live || this->planOfHost[host] != aExtra / 2) {
+  if (!moving.live || this->planNumberOfHost[host] != aExtra / 2) {
     return;
   }
   const std::uint32_t request = moving.request;
@@ -193,14 +194,14 @@
     this->world.hosts[host].engine->Cancel(aAttempt);
   }
   this->policy.OnEnd(request, AttemptEnd::Moved, false);
-  Ask ask = this->MakeAsk(request);
-  ask.failedHost = host;
-  ask.imported = transfer;
+  Ask placementRequest = this->MakePlacementRequest(request);
+  placementRequest.failedHost = host;
+  placementRequest.imported = transfer;
   const double context = this->items[request].promptTokens + this->requests[request].relayed;
   const double seconds =
     this->moves.transferSetupSeconds + context / this->moves.transferTokensPerSecond;
-  if (!this->TryPlace(request, ask, transfer ? seconds : 0)) {
-    this->world.Schedule(kPlacePause, EventKind::Retry, request);
+  if (!this->TryPlace(request, placementRequest, transfer ? seconds : 0)) {
+    this->world.Schedule(kPlacementRetryDelay, EventKind::Retry, request);
   }
 }
 
@@ -211,15 +212,15 @@
   AttemptState& attempt = this->attempts[aAttempt];
   if (attempt.live) {
     this->world.hosts[attempt.host].engine->Submit(attempt.job);
-    this->world.Kick(attempt.host);
+    this->world.StartEngineStep(attempt.host);
   }
 }
 
 template<RoutePolicy Policy>
 void
-Simulation<Policy>::OnSilence()
+Simulation<Policy>::OnConnectionStall()
 {
-  // One engine and one service lose their open connections; both go on working
+  // The open connections of the busiest engine and the busiest service stall; both hosts keep processing
   std::vector<std::uint32_t> engines;
   std::vector<std::uint32_t> services;
   for (std::uint32_t host = 0; host < this->world.hosts.size(); ++host) {
@@ -231,23 +232,23 @@
   for (const AttemptState& attempt : this->attempts) {
     load[attempt.host] += attempt.live ? 1 : 0;
   }
-  const auto busier = [&](std::uint32_t aLeft, std::uint32_t aRight) {
+  const auto hasLessLoad = [&](std::uint32_t aLeft, std::uint32_t aRight) {
     return load[aLeft] < load[aRight];
   };
-  const std::uint32_t engine = *std::max_element(engines.begin(), engines.end(), busier);
-  const std::uint32_t service = *std::max_element(services.begin(), services.end(), busier);
+  const std::uint32_t engine = *std::max_element(engines.begin(), engines.end(), hasLessLoad);
+  const std::uint32_t service = *std::max_element(services.begin(), services.end(), hasLessLoad);
   for (std::uint32_t attempt = 0; attempt < this->attempts.size(); ++attempt) {
     AttemptState& state = this->attempts[attempt];
     if (state.live && (state.host == engine || state.host == service)) {
       state.silent = true;
-      this->world.Schedule(Policy::kSilenceBudget, EventKind::SilenceOver, attempt);
+      this->world.Schedule(Policy::kStallTimeout, EventKind::StallTimeout, attempt);
     }
   }
 }
 
 template<RoutePolicy Policy>
 void
-Simulation<Policy>::OnSilenceOver(std::uint32_t aAttempt)
+Simulation<Policy>::OnStallTimeout(std::uint32_t aAttempt)
 {
   AttemptState& attempt = this->attempts[aAttempt];
   if (!attempt.live) {
@@ -258,7 +259,7 @@
     return;
   }
 
-  // A new connection works, and the engine still has the stream
+  // Reconnecting succeeds, and the engine has retained the stream
   attempt.silent = false;
   if (attempt.produced > this->requests[attempt.request].relayed) {
     this->Relay(aAttempt);
--- a/Bench/Decisions/SimulationRequests.h
+++ b/Bench/Decisions/SimulationRequests.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The requests of Simulation, which is a template; included by Simulation.h only.
+// Request handling of the class template Simulation. Included only by Simulation.h.
 
 #include "Bench/Decisions/Simulation.h"
 
@@ -8,19 +8,19 @@
 
 template<RoutePolicy Policy>
 Ask
-Simulation<Policy>::MakeAsk(std::uint32_t aRequest) const
+Simulation<Policy>::MakePlacementRequest(std::uint32_t aRequest) const
 {
   const WorkItem& item = this->items[aRequest];
-  Ask ask;
-  ask.request = aRequest;
-  ask.item = &item;
-  ask.relayedTokens = Policy::kResumes ? this->requests[aRequest].relayed : 0;
-  ask.attempt = this->requests[aRequest].attempts;
+  Ask placementRequest;
+  placementRequest.request = aRequest;
+  placementRequest.item = &item;
+  placementRequest.relayedTokens = Policy::kResumes ? this->requests[aRequest].relayed : 0;
+  placementRequest.attempt = this->requests[aRequest].attempts;
   const auto& each = this->world.deployment.manifest.classes[item.classIndex];
   const std::chrono::duration<double> age(this->world.Now() - item.at);
-  ask.deadline =
+  placementRequest.deadline =
     this->world.clock.Now() + each.deadline - std::chrono::duration_cast<TimePoint::duration>(age);
-  return ask;
+  return placementRequest;
 }
 
 template<RoutePolicy Policy>
@@ -31,11 +31,11 @@
   ClassResult& each = this->result.classes[item.classIndex];
   ++each.offered;
   ++this->result.offered;
-  const Ask ask = this->MakeAsk(aRequest);
-  if (!this->policy.Admit(ask) || !this->TryPlace(aRequest, ask, 0)) {
+  const Ask placementRequest = this->MakePlacementRequest(aRequest);
+  if (!this->policy.Admit(placementRequest) || !this->TryPlace(aRequest, placementRequest, 0)) {
     ++this->result.refusedNotRun;
     this->requests[aRequest].done = true;
-    --this->open;
+    --this->openRequests;
     return;
   }
   this->requests[aRequest].accepted = true;
@@ -48,22 +48,23 @@
 
 template<RoutePolicy Policy>
 bool
-Simulation<Policy>::TryPlace(std::uint32_t aRequest, const Ask& aAsk, double aTransferSeconds)
+Simulation<Policy>::TryPlace(std::uint32_t aRequest, const Ask& aPlacementRequest,
+                             double aTransferSeconds)
 {
-  const auto placed = this->policy.Place(aAsk);
-  if (!placed) {
+  const auto placement = this->policy.Place(aPlacementRequest);
+  if (!placement) {
     return false;
   }
   RequestState& request = this->requests[aRequest];
   const WorkItem& item = this->items[aRequest];
   const auto attempt = static_cast<std::uint32_t>(this->attempts.size());
-  const std::uint32_t host = placed.value().host;
+  const std::uint32_t host = placement.value().host;
   request.attempt = attempt;
   ++request.attempts;
   AttemptState state;
   state.request = aRequest;
   state.host = host;
-  state.produced = aAsk.relayedTokens;
+  state.produced = aPlacementRequest.relayedTokens;
   if (!this->world.hosts[host].engine) {
     ++request.begun;
     this->attempts.push_back(state);
@@ -72,16 +73,16 @@
   }
   EngineJob& job = state.job;
   job.attempt = attempt;
-  job.priority = placed.value().priority;
+  job.priority = placement.value().priority;
   job.blocks = item.blocks;
   job.promptTokens = item.promptTokens;
-  job.resumedTokens = aAsk.imported ? 0 : aAsk.relayedTokens;
-  job.outputTokens = item.outputTokens - aAsk.relayedTokens;
-  job.imported = aAsk.imported;
+  job.resumedTokens = aPlacementRequest.imported ? 0 : aPlacementRequest.relayedTokens;
+  job.outputTokens = item.outputTokens - aPlacementRequest.relayedTokens;
+  job.imported = aPlacementRequest.imported;
   this->attempts.push_back(state);
 
-  // Tokens that a restart generates again
-  this->world.computed.recomputedTokens += request.relayed - aAsk.relayedTokens;
+  // Tokens that an attempt from scratch generates again
+  this->world.computed.recomputedTokens += request.relayed - aPlacementRequest.relayedTokens;
   if (aTransferSeconds > 0) {
     this->world.Schedule(aTransferSeconds, EventKind::MoveEnd, attempt);
     return true;
@@ -92,7 +93,7 @@
     return true;
   }
   this->world.hosts[host].engine->Submit(job);
-  this->world.Kick(host);
+  this->world.StartEngineStep(host);
   return true;
 }
 
@@ -108,7 +109,7 @@
   for (const EngineToken& token : this->tokens) {
     this->OnProduced(token.attempt, token.last);
   }
-  this->world.Kick(aHost);
+  this->world.StartEngineStep(aHost);
 }
 
 template<RoutePolicy Policy>
@@ -139,15 +140,15 @@
   const std::size_t classIndex = this->items[attempt.request].classIndex;
   this->policy.OnToken(attempt.request);
   if (attempt.produced <= request.relayed) {
-    return; // a restart, still behind what the caller has
+    return; // an attempt from scratch that has not yet passed the tokens relayed before
   }
   const double now = this->world.Now();
   if (request.relayed == 0) {
     request.firstTokenAt = now;
-    this->firstTokens[classIndex].push_back(
+    this->firstTokenDelays[classIndex].push_back(
       static_cast<float>(now - this->items[attempt.request].at));
   } else {
-    this->gaps[classIndex].push_back(static_cast<float>(now - request.lastTokenAt));
+    this->tokenIntervals[classIndex].push_back(static_cast<float>(now - request.lastTokenAt));
   }
   request.lastTokenAt = now;
   request.relayed = attempt.produced;
@@ -159,21 +160,21 @@
 {
   AttemptState& attempt = this->attempts[aAttempt];
   attempt.live = false;
-  this->policy.OnAnswered(attempt.request, this->MetTargets(attempt.request));
+  this->policy.OnCompleted(attempt.request, this->MetTargets(attempt.request));
   this->policy.OnEnd(attempt.request, AttemptEnd::Completed, true);
-  this->Close(attempt.request, true);
+  this->CloseRequest(attempt.request, true);
 }
 
 template<RoutePolicy Policy>
 void
-Simulation<Policy>::Close(std::uint32_t aRequest, bool aWhole)
+Simulation<Policy>::CloseRequest(std::uint32_t aRequest, bool aCompleted)
 {
   RequestState& request = this->requests[aRequest];
   const WorkItem& item = this->items[aRequest];
   request.done = true;
-  --this->open;
+  --this->openRequests;
   this->result.duplicated += !item.repeatable && request.begun > 1 ? 1 : 0;
-  if (!aWhole) {
+  if (!aCompleted) {
     ++this->result.lost;
     return;
   }
@@ -207,15 +208,16 @@
   const std::uint32_t request = attempt.request;
   attempt.live = false;
   this->policy.OnEnd(request, AttemptEnd::Failed, false);
-  const bool mayRepeat = !Policy::kResumes || this->items[request].repeatable;
-  const bool survives = Policy::kResumes && aAnnounced;
-  if (!mayRepeat || (!survives && !this->policy.MayRetry(this->MakeAsk(request)))) {
-    this->Close(request, false);
+  const bool isRepeatable = !Policy::kResumes || this->items[request].repeatable;
+  const bool resumesWithoutRetry = Policy::kResumes && aAnnounced;
+  if (!isRepeatable ||
+      (!resumesWithoutRetry && !this->policy.MayRetry(this->MakePlacementRequest(request)))) {
+    this->CloseRequest(request, false);
     return;
   }
-  const double pause =
-    kRetryPause * static_cast<double>(1U << std::min(this->requests[request].attempts - 1, 4));
-  this->world.Schedule(survives ? 0 : pause, EventKind::Retry, request);
+  const double delay =
+    kRetryDelay * static_cast<double>(1U << std::min(this->requests[request].attempts - 1, 4));
+  this->world.Schedule(resumesWithoutRetry ? 0 : delay, EventKind::Retry, request);
 }
 
 template<RoutePolicy Policy>
@@ -225,10 +227,10 @@
   if (this->requests[aRequest].done) {
     return;
   }
-  Ask ask = this->MakeAsk(aRequest);
-  ask.failedHost = this->attempts[this->requests[aRequest].attempt].host;
-  if (!this->TryPlace(aRequest, ask, 0)) {
-    this->world.Schedule(kPlacePause, EventKind::Retry, aRequest);
+  Ask placementRequest = this->MakePlacementRequest(aRequest);
+  placementRequest.failedHost = this->attempts[this->requests[aRequest].attempt].host;
+  if (!this->TryPlace(aRequest, placementRequest, 0)) {
+    this->world.Schedule(kPlacementRetryDelay, EventKind::Retry, aRequest);
   }
 }
 
@@ -248,26 +250,26 @@
     }
     this->policy.OnEnd(aRequest, AttemptEnd::Moved, true);
   }
-  this->Close(aRequest, false);
+  this->CloseRequest(aRequest, false);
 }
 
 template<RoutePolicy Policy>
 RunResult
-Simulation<Policy>::Finish()
+Simulation<Policy>::CollectResult()
 {
   constexpr double kMillis = 1000;
   const auto p95 = [](std::vector<float>& aValues) {
     if (aValues.empty()) {
       return 0.0;
     }
-    const auto place = static_cast<std::ptrdiff_t>(aValues.size() * 95 / 100);
-    std::nth_element(aValues.begin(), aValues.begin() + place, aValues.end());
-    return static_cast<double>(aValues[static_cast<std::size_t>(place)]);
+    const auto index = static_cast<std::ptrdiff_t>(aValues.size() * 95 / 100);
+    std::nth_element(aValues.begin(), aValues.begin() + index, aValues.end());
+    return static_cast<double>(aValues[static_cast<std::size_t>(index)]);
   };
   for (std::size_t index = 0; index < this->result.classes.size(); ++index) {
     ClassResult& each = this->result.classes[index];
-    each.firstTokenP95Ms = p95(this->firstTokens[index]) * kMillis;
-    each.betweenTokensP95Ms = p95(this->gaps[index]) * kMillis;
+    each.firstTokenP95Ms = p95(this->firstTokenDelays[index]) * kMillis;
+    each.betweenTokensP95Ms = p95(this->tokenIntervals[index]) * kMillis;
   }
   this->result.tokensRecomputed = this->world.computed.recomputedTokens;
   this->result.cost = this->world.cost;
--- a/Bench/Decisions/Tuning.h
+++ b/Bench/Decisions/Tuning.h
@@ -10,17 +10,18 @@
 
 namespace lagoonward::bench {
 
-/// The settings that the decision modules run with in a bench. Starts with their defaults.
+/// Settings of the decision modules in a bench run, initialized to their defaults.
 struct Tuning
 {
   RoutingSettings routing;
   AdmissionSettings admission;
   RetryBudgetSettings retries;
   MoveSettings moves;
-  std::optional<double> costWeight; ///< Replaces the deployment's objective weights.
+  /// Overrides the objective of the deployment: cost gets this weight, recomputed tokens the rest.
+  std::optional<double> costWeight;
 
-  /// Sets one value from text of the form "name=value", for example "packing=0.5".
-  /// @return false when there is no such name or the value is no number
+  /// Sets one value from a text of the form "name=value", for example "packing=0.5".
+  /// @return false if the name is unknown or the value is not a number
   [[nodiscard]] bool Set(std::string_view aText);
 };
 
--- a/Bench/Decisions/Workload.cpp
+++ b/Bench/Decisions/Workload.cpp
@@ -9,21 +9,23 @@
 namespace {
 
 constexpr int kBlockTokens = 64;
-constexpr int kPreambleTokens =
-  960; ///< Instructions that every prompt of a deployment begins with.
-constexpr double kLargeClientsPart = 0.6; ///< Part of the requests that the first two clients send.
-constexpr double kRepeatableCalls = 0.7;  ///< Part of the plain services' calls that may run twice.
-constexpr std::uint64_t kPreamble = 1;
-
-/// A document and how often it will still be asked about.
+/// Length of the instructions that all prompts of a deployment share.
+constexpr int kPreambleTokens = 960;
+/// Fraction of the requests sent by the first two clients.
+constexpr double kLargeClientsFraction = 0.6;
+/// Fraction of the calls to plain services that are safe to repeat.
+constexpr double kRepeatableCallsFraction = 0.7;
+constexpr std::uint64_t kPreamble = 1; ///< Source id of the shared instructions' blocks.
+
+/// A document that several requests have in common.
 struct Document
 {
   std::uint64_t id = 0;
   int tokens = 0;
-  int usesLeft = 0;
+  int remainingUses = 0; ///< Requests until it is replaced.
 };
 
-/// Generates one kind of traffic.
+/// Generates the prompts of one kind of traffic.
 class TrafficSource
 {
 public:
@@ -36,8 +38,9 @@
     for (Document& document : this->pool) {
       this->Replace(document);
 
-      // Documents in use at the start are at all stages of their lives
-      document.usesLeft = this->random.Between(1, document.usesLeft);
+      // Initial documents start with a random number of remaining uses, so that they are not all replaced at the same
+      // time
+      document.remainingUses = this->random.Between(1, document.remainingUses);
     }
   }
 
@@ -50,11 +53,11 @@
     aItem.promptTokens = kPreambleTokens + documentTokens + question;
     aItem.outputTokens = this->random.Between(this->spec.outputLow, this->spec.outputHigh);
     aItem.expectedOutput = (this->spec.outputLow + this->spec.outputHigh) / 2;
-    const std::uint64_t own = this->random.Next();
+    const std::uint64_t ownSource = this->random.Next();
     const int shared = kPreambleTokens + documentTokens;
     for (int start = 0; start + kBlockTokens <= aItem.promptTokens; start += kBlockTokens) {
       const auto index = static_cast<std::uint64_t>(start);
-      std::uint64_t source = own;
+      std::uint64_t source = ownSource;
       if (start + kBlockTokens <= kPreambleTokens) {
         source = kPreamble;
       } else if (document != nullptr && start + kBlockTokens <= shared) {
@@ -62,7 +65,7 @@
       }
       aItem.blocks.push_back(CombineHashes(source, index));
     }
-    if (document != nullptr && --document->usesLeft == 0) {
+    if (document != nullptr && --document->remainingUses == 0) {
       this->Replace(*document);
     }
   }
@@ -73,8 +76,8 @@
     if (this->pool.empty()) {
       return nullptr;
     }
-    if (this->random.Unit() < this->scenario.hotShare) {
-      this->pool[0].usesLeft = 2; // stays in use
+    if (this->random.Unit() < this->scenario.hotDocumentFraction) {
+      this->pool[0].remainingUses = 2; // never replaced
       return this->pool.data();
     }
     return &this->pool[this->random.Next() % this->pool.size()];
@@ -85,7 +88,7 @@
     aDocument.id = this->random.Next();
     aDocument.tokens =
       this->random.Between(this->spec.documentTokensLow, this->spec.documentTokensHigh);
-    aDocument.usesLeft = this->random.Between(1, 2 * this->spec.usesPerDocument - 1);
+    aDocument.remainingUses = this->random.Between(1, 2 * this->spec.usesPerDocument - 1);
   }
 
   const TrafficSpec& spec;
@@ -97,11 +100,11 @@
 std::size_t
 PickClient(Random& aRandom, std::size_t aCount)
 {
-  constexpr std::size_t kLarge = 2;
-  if (aRandom.Unit() < kLargeClientsPart) {
-    return aRandom.Next() % kLarge;
+  constexpr std::size_t kLargeClients = 2;
+  if (aRandom.Unit() < kLargeClientsFraction) {
+    return aRandom.Next() % kLargeClients;
   }
-  return kLarge + aRandom.Next() % (aCount - kLarge);
+  return kLargeClients + aRandom.Next() % (aCount - kLargeClients);
 }
 
 std::size_t
@@ -138,7 +141,7 @@
       if (spec.service.empty()) {
         source.FillPrompt(item);
       } else {
-        item.repeatable = random.Unit() < kRepeatableCalls;
+        item.repeatable = random.Unit() < kRepeatableCallsFraction;
       }
       items.push_back(std::move(item));
     }
--- a/Bench/Decisions/World.cpp
+++ b/Bench/Decisions/World.cpp
@@ -11,8 +11,9 @@
 namespace {
 
 constexpr double kSecondsPerHour = 3600;
-constexpr std::size_t kSamplesKept = 64;
-constexpr double kHostListLag = 2; ///< Seconds until the host list shows a new or a lost host.
+constexpr std::size_t kMaximumSamples = 64;
+/// Seconds until the host list reflects the termination of a host.
+constexpr double kHostListLag = 2;
 
 TimePoint::duration
 ToDuration(double aSeconds)
@@ -40,7 +41,7 @@
   HostState host;
   host.id = aSpec.id;
   host.failureDomain = aSpec.failureDomain;
-  host.pricePerHour = aSpec.pricePerHour * this->DomainFactor(aSpec.failureDomain);
+  host.pricePerHour = aSpec.pricePerHour * this->DomainPriceFactor(aSpec.failureDomain);
   host.engine = std::make_unique<EngineFake>(aSpec, this->computed);
   this->hosts.push_back(std::move(host));
 }
@@ -85,7 +86,7 @@
 }
 
 void
-World::Kick(std::uint32_t aHost)
+World::StartEngineStep(std::uint32_t aHost)
 {
   HostState& host = this->hosts[aHost];
   if (host.gone || !host.engine) {
@@ -109,7 +110,7 @@
                               readable ? host.engine->Running() : 0);
   }
   this->samples.push_back(std::move(sample));
-  if (this->samples.size() > kSamplesKept) {
+  if (this->samples.size() > kMaximumSamples) {
     this->samples.pop_front();
   }
 }
@@ -167,23 +168,23 @@
 }
 
 void
-World::CollectCacheNews()
+World::CollectCacheUpdates()
 {
   for (std::uint32_t index = 0; index < this->hosts.size(); ++index) {
     HostState& host = this->hosts[index];
     if (!host.engine || host.gone) {
       continue;
     }
-    CacheNews news{ index, host.engine->TakeStored(), host.engine->TakeEvicted(), false };
-    if (news.stored.empty() && news.evicted.empty()) {
+    CacheUpdate update{ index, host.engine->TakeStored(), host.engine->TakeEvicted(), false };
+    if (update.stored.empty() && update.evicted.empty()) {
       continue;
     }
     if (this->random.Unit() < this->scenario.gapChance) {
-      news = { index, {}, {}, true };
+      update = { index, {}, {}, true };
     }
-    this->cacheNews.push_back(std::move(news));
-    this->Schedule(this->scenario.cacheLag, EventKind::CacheNews,
-                   static_cast<std::uint32_t>(this->cacheNews.size() - 1));
+    this->cacheUpdates.push_back(std::move(update));
+    this->Schedule(this->scenario.cacheLag, EventKind::CacheUpdate,
+                   static_cast<std::uint32_t>(this->cacheUpdates.size() - 1));
   }
 }
 
@@ -194,18 +195,18 @@
     HostState& host = this->hosts[index];
     if (host.failureDomain == aReclaim.failureDomain && host.engine && !host.noticed) {
       host.noticed = true;
-      host.goneAt = this->Now() + aReclaim.grace;
+      host.terminatesAt = this->Now() + aReclaim.grace;
       this->Schedule(aReclaim.grace, EventKind::Gone, index);
-      this->Schedule(aReclaim.grace + kHostListLag, EventKind::Forgotten, index);
+      this->Schedule(aReclaim.grace + kHostListLag, EventKind::HostDelisted, index);
     }
   }
 }
 
 double
-World::DomainFactor(std::string_view aDomain) const
+World::DomainPriceFactor(std::string_view aDomain) const
 {
   double factor = 1;
-  for (const PriceEvent& change : this->pricesNow) {
+  for (const PriceEvent& change : this->priceChanges) {
     factor = change.failureDomain == aDomain ? change.factor : factor;
   }
   return factor;
@@ -214,7 +215,7 @@
 void
 World::ChangePrice(const PriceEvent& aChange)
 {
-  this->pricesNow.push_back(aChange);
+  this->priceChanges.push_back(aChange);
   for (HostState& host : this->hosts) {
     if (host.engine && host.failureDomain == aChange.failureDomain) {
       host.pricePerHour = host.engine->Spec().pricePerHour * aChange.factor;
@@ -223,9 +224,9 @@
 }
 
 void
-World::Replace(const ReclaimEvent& aReclaim)
+World::AddReplacements(const ReclaimEvent& aReclaim)
 {
-  // The prices of the other domains' engines of the same class hold for the replacements
+  // Replacements copy the specification and price of engines in the other domains
   std::vector<EngineSpec> lost;
   std::vector<EngineSpec> others;
   for (const HostState& host : this->hosts) {
