--- a/Bench/AllocationCount.h
+++ b/Bench/AllocationCount.h
@@ -4,8 +4,8 @@
 
 namespace lagoonward::bench {
 
-/// How often this thread has called operator new. The bench program replaces the global operators to
-/// count; see AllocationCount.cpp.
+/// Number of calls of operator new on the calling thread. The benchmark program replaces the global
+/// operators new and delete to count them; see AllocationCount.cpp.
 [[nodiscard]] std::uint64_t
 AllocationCount();
 
--- a/Bench/ClaimCost.cpp
+++ b/Bench/ClaimCost.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// One record of claims numbered from aFirst on, with the outcome of each.
+/// Makes a record of aBatch claims, numbered from aFirst, each with its outcome.
 ClaimRecord
 MakeRecord(std::size_t aFirst, std::size_t aBatch, WallTime aNow)
 {
@@ -41,12 +41,12 @@
   Offset offset = 0;
   for (std::size_t first = 0; first + aBatch <= aClaims; first += aBatch) {
     const ClaimRecord record = MakeRecord(first, aBatch, clock.WallNow());
-    const double begun = ThreadSeconds();
+    const double writeStart = ThreadSeconds();
     const std::string text = WriteClaimRecord(record);
-    const double written = ThreadSeconds();
+    const double writeEnd = ThreadSeconds();
     std::ignore = ledger.Apply(offset++, text);
-    cost.foldCpuSeconds += ThreadSeconds() - written;
-    cost.writeCpuSeconds += written - begun;
+    cost.applyCpuSeconds += ThreadSeconds() - writeEnd;
+    cost.writeCpuSeconds += writeEnd - writeStart;
     cost.recordBytes += static_cast<double>(text.size());
   }
   cost.heapBytes = static_cast<double>(mallinfo2().uordblks) - heapBefore;
@@ -54,7 +54,7 @@
   cost.recordBytes /= claims;
   cost.heapBytes /= claims;
   cost.writeCpuSeconds /= claims;
-  cost.foldCpuSeconds /= claims;
+  cost.applyCpuSeconds /= claims;
   return cost;
 }
 
--- a/Bench/ClaimCost.h
+++ b/Bench/ClaimCost.h
@@ -4,16 +4,17 @@
 
 namespace lagoonward::bench {
 
-/// Cost of a claim of a non-idempotent request for the daemon that batches its shard.
+/// Cost of the claim of one non-idempotent request to the daemon that batches the claim's shard.
 struct ClaimCost
 {
-  double recordBytes = 0;     ///< Of the log record, per claim and its outcome.
-  double heapBytes = 0;       ///< Kept while the key is remembered.
-  double writeCpuSeconds = 0; ///< Writing the record.
-  double foldCpuSeconds = 0;  ///< Reading the record back and folding it in.
+  double recordBytes = 0;     ///< Size of the log record per claim and its outcome.
+  double heapBytes = 0;       ///< Held by the ledger while it retains the key.
+  double writeCpuSeconds = 0; ///< Serializing the record.
+  double applyCpuSeconds = 0; ///< Parsing the record and applying it to the ledger.
 };
 
-/// Writes and folds claims, each with its outcome, in records of aBatch claims.
+/// Serializes claims, each with its outcome, in records of aBatch claims and applies them to a ledger.
+/// @return means per claim
 [[nodiscard]] ClaimCost
 MeasureClaims(std::size_t aClaims, std::size_t aBatch);
 
--- a/Bench/ClaimsBench.cpp
+++ b/Bench/ClaimsBench.cpp
@@ -26,7 +26,7 @@
 constexpr std::array kShares{ 0.01, 0.05, 0.1, 0.5, 1.0 };
 const std::string kStream = "claims/bench/0";
 
-/// What was asked for on the command line.
+/// Command-line options.
 struct Options
 {
   double requestsPerSecond = 3800;
@@ -37,17 +37,17 @@
   bool json = false;
 };
 
-/// What one shard did at one rate.
+/// Measurements of one shard at one claim rate.
 struct ShardResult
 {
-  double share = 0; ///< Of the requests that are non-idempotent.
+  double share = 0; ///< Fraction of the requests that are non-idempotent.
   double claimsPerSecond = 0;
   double appendsPerSecond = 0;
   double claimsPerAppend = 0;
   double bytesPerClaim = 0;
-  double waitP50 = 0; ///< Milliseconds, with the log's latency in it.
+  double waitP50 = 0; ///< Milliseconds, including the log's latency.
   double waitP99 = 0;
-  double cpuPerClaim = 0; ///< Microseconds of this thread, codec and bench included.
+  double cpuPerClaim = 0; ///< Microseconds of this thread, including codec and benchmark.
   int refused = 0;
 };
 
@@ -61,13 +61,13 @@
 }
 
 double
-Quantile(std::vector<double>& aValues, double aShare)
+Quantile(std::vector<double>& aValues, double aFraction)
 {
   if (aValues.empty()) {
     return 0;
   }
   std::sort(aValues.begin(), aValues.end());
-  return aValues[static_cast<std::size_t>(aShare * static_cast<double>(aValues.size() - 1))];
+  return aValues[static_cast<std::size_t>(aFraction * static_cast<double>(aValues.size() - 1))];
 }
 
 Claim
@@ -79,7 +79,7 @@
            { fmt::format("daemon-{:03}#{:016x}", daemon, daemon * 7919), aSequence } };
 }
 
-/// Claims a second in one shard.
+/// Claims per second in one shard.
 double
 ShardRate(const Options& aOptions, double aShare)
 {
@@ -87,7 +87,7 @@
          (aOptions.regions * static_cast<double>(kClaimShards));
 }
 
-/// Runs one shard's batcher with Poisson arrivals for some virtual seconds.
+/// Runs the batcher of one shard with Poisson arrivals for aOptions.seconds of virtual time.
 ShardResult
 RunShard(const Options& aOptions, double aShare)
 {
@@ -97,22 +97,22 @@
   const ClaimSettings settings;
   ClaimBatcher batcher(kStream, "bench", settings, log, clock);
   std::mt19937_64 random(1);
-  std::exponential_distribution<double> gap(rate);
-  const auto drawGap = [&] {
+  std::exponential_distribution<double> interarrival(rate);
+  const auto drawInterarrival = [&] {
     return std::chrono::duration_cast<TimePoint::duration>(
-      std::chrono::duration<double>(gap(random)));
+      std::chrono::duration<double>(interarrival(random)));
   };
 
-  // Let claims arrive when they are due, also those that came while a call was in progress
+  // Submit all claims that are due, including those that arrived during a log call
   ShardResult result;
   std::vector<double> waits;
   std::uint64_t sequence = 0;
   const TimePoint begin = clock.Now();
   const TimePoint end = begin + Seconds(aOptions.seconds);
-  TimePoint arrival = begin + drawGap();
+  TimePoint arrival = begin + drawInterarrival();
   const double cpuBefore = ThreadMicroseconds();
   while (clock.Now() < end) {
-    for (; arrival <= clock.Now(); arrival += drawGap()) {
+    for (; arrival <= clock.Now(); arrival += drawInterarrival()) {
       batcher.Submit(MakeClaim(random, sequence++, aOptions.daemons),
                      arrival + settings.claimTimeout, [&, arrival](const ClaimAnswer& aAnswer) {
                        const std::chrono::duration<double, std::milli> wait = clock.Now() - arrival;
@@ -120,13 +120,13 @@
                        result.refused += aAnswer.verdict == ClaimAnswer::Verdict::Won ? 0 : 1;
                      });
     }
-    const auto pause = batcher.Step();
-    const bool isIdle = pause >= settings.idleWait;
-    clock.Advance(isIdle ? arrival - clock.Now() : TimePoint::duration(pause));
+    const auto nextStepDelay = batcher.Step();
+    const bool isIdle = nextStepDelay >= settings.idleWait;
+    clock.Advance(isIdle ? arrival - clock.Now() : TimePoint::duration(nextStepDelay));
   }
   const double cpu = ThreadMicroseconds() - cpuBefore;
 
-  // Sum up
+  // Compute the means and quantiles
   const auto counters = batcher.GetCounters();
   const auto claims = static_cast<double>(std::max<std::uint64_t>(counters.claims, 1));
   std::size_t bytes = 0;
@@ -145,18 +145,19 @@
   return result;
 }
 
-/// What a batcher that takes a shard over has to do.
+/// Cost of a takeover: a batcher loads the ledger of a shard that another batcher had.
 struct LedgerResult
 {
   int records = 0;
   double keys = 0;
   double bytesPerKey = 0;
-  double loadMicroseconds = 0; ///< Parsing and folding one claim.
-  double takeoverSeconds =
-    0; ///< Reading the stream, in virtual time, and folding it, in real time.
+  double loadMicroseconds = 0; ///< Parsing one claim and applying it to the ledger.
+  /// Reading the stream, in virtual time, plus applying it, in real time.
+  double takeoverSeconds = 0;
 };
 
-/// Lets a new batcher take over a shard that holds a lifetime's claims at kTakeoverShare, one a record.
+/// Measures the takeover of a shard that holds the claims of one key lifetime at kTakeoverShare, one per
+/// record.
 LedgerResult
 MeasureLedger(const Options& aOptions)
 {
@@ -174,28 +175,28 @@
     static_cast<void>(log.Append(kStream, WriteClaimRecord(record)));
   }
 
-  // Memory and processor time of the fold alone
+  // Memory and processor time of applying the records, without the log
   const auto bytesBefore = mallinfo2().uordblks;
-  const double foldBefore = ThreadMicroseconds();
+  const double applyCpuBefore = ThreadMicroseconds();
   {
     ClaimLedger ledger(settings.keyLifetime);
     for (const std::string& record : log.Records()) {
       ledger.Apply(ledger.NextOffset(), record);
     }
     result.keys = static_cast<double>(ledger.Size());
-    result.loadMicroseconds = (ThreadMicroseconds() - foldBefore) / result.keys;
+    result.loadMicroseconds = (ThreadMicroseconds() - applyCpuBefore) / result.keys;
     result.bytesPerKey = static_cast<double>(mallinfo2().uordblks - bytesBefore) / result.keys;
   }
 
-  // The whole takeover: the log's latency, and what the daemon does with each page
+  // The complete takeover: the log's latency and the daemon's processing of each page
   ClaimBatcher batcher(kStream, "successor", settings, log, clock);
   const TimePoint begin = clock.Now();
   const double cpuBefore = ThreadMicroseconds();
   batcher.Submit(MakeClaim(random, 0, aOptions.daemons), clock.BootNow() + std::chrono::hours(1),
                  [](const ClaimAnswer&) {});
   static_cast<void>(batcher.Step());
-  const std::chrono::duration<double> waited = clock.Now() - begin;
-  result.takeoverSeconds = waited.count() + (ThreadMicroseconds() - cpuBefore) / 1e6;
+  const std::chrono::duration<double> virtualDuration = clock.Now() - begin;
+  result.takeoverSeconds = virtualDuration.count() + (ThreadMicroseconds() - cpuBefore) / 1e6;
   return result;
 }
 
--- a/Bench/ClaimsBench.h
+++ b/Bench/ClaimsBench.h
@@ -5,10 +5,10 @@
 
 namespace lagoonward::bench {
 
-/// `lagoonward-bench claims`: how many claims share an append, how long a claim waits, and what claims
-/// cost in bytes, memory and processor time, for several shares of non-idempotent requests. The real
-/// batcher runs on a virtual clock against a log in memory; processor time and memory are measured.
-/// @return the program's exit code: 2 for wrong arguments
+/// `lagoonward-bench claims`: claims per append, waiting time of a claim, and bytes, memory and processor
+/// time per claim, for several shares of non-idempotent requests. The production ClaimBatcher runs on a
+/// virtual clock against an in-memory log; processor time and memory are measured on the real machine.
+/// @return the program's exit code: 2 for invalid arguments
 int
 RunClaimsBench(std::span<const std::string> aArguments);
 
--- a/Bench/ControlBench.cpp
+++ b/Bench/ControlBench.cpp
@@ -21,21 +21,22 @@
 
 namespace {
 
-/// What is run, from the arguments.
+/// Settings of the benchmark; the arguments set the sizes, the measured time and the output format.
 struct ControlBenchSettings
 {
   std::vector<FleetSize> sizes;
-  Seconds settle{ 12 };
-  Seconds measured{ 15 };
-  std::size_t stateBytes = 8192;     ///< About a manifest.
-  std::size_t rounds = 20;           ///< Repetitions of each spreading test.
+  Seconds settleTime{ 12 };          ///< Between the start and the steady-state measurement.
+  Seconds measuredTime{ 15 };        ///< Length of the steady-state measurement.
+  std::size_t stateBytes = 8192;     ///< About the size of a manifest.
+  std::size_t rounds = 20;           ///< Repetitions of each propagation measurement.
   std::size_t recordsPerSecond = 20; ///< Soft records that each daemon places.
-  Seconds recordSpan{ 4 };
-  std::size_t largestWithRecords = 100; ///< Daemons up to which soft records are measured.
+  Seconds recordDuration{ 4 };
+  /// Soft records are measured up to this number of daemons.
+  std::size_t maxDaemonsForRecords = 100;
   bool json = false;
 };
 
-/// Figures of one fleet size, means over its daemons unless named otherwise.
+/// Measurements of one fleet size: means over its daemons unless a comment or a name (worst) says otherwise.
 struct ControlFigures
 {
   FleetSize size;
@@ -43,28 +44,29 @@
   double receivedPerSecond = 0;
   double worstSentPerSecond = 0;
   double worstReceivedPerSecond = 0;
-  double datagramsPerSecond = 0; ///< Sent.
-  double cpuShare = 0;           ///< Of one core.
+  double datagramsPerSecond = 0; ///< Datagrams sent.
+  double cpuShare = 0;           ///< Fraction of one core.
   double worstCpuShare = 0;
-  double residentBytes = 0;  ///< Per daemon.
-  double polled = 0;         ///< Endpoints that a daemon polls.
-  double bytesPerRecord = 0; ///< Of a soft record placed, sent and received, its answer included.
-  double cpuPerRecord = 0;   ///< Seconds, both daemons together.
-  std::vector<double> loadAges;
+  double residentBytes = 0; ///< Per daemon.
+  double polledEndpoints = 0;
+  double bytesPerRecord = 0;    ///< Sent by both daemons per placed soft record, response included.
+  double cpuPerRecord = 0;      ///< Seconds, sum over both daemons.
+  std::vector<double> loadAges; ///< This and the following: milliseconds, one entry per sample.
   std::vector<double> reclaim;
   std::vector<double> domainReclaim;
   std::vector<double> stateWithLog;
   std::vector<double> stateWithoutLog;
-  std::vector<double> host;
-  std::vector<double> death;
-  double sharedListBytes = 0; ///< The host list as shared within a region.
-  std::size_t unreached = 0;  ///< Daemons that missed a change within its time limit.
+  std::vector<double> newHost;
+  std::vector<double> daemonFailure;
+  double sharedListBytes = 0; ///< Size of the host list that is distributed within a region.
+  /// Daemons that a change did not reach before its timeout, over all changes.
+  std::size_t unreached = 0;
 };
 
 double
 ResidentBytes()
 {
-  // What earlier sizes have freed must not hide what this one needs
+  // Return memory freed by earlier sizes to the system: its reuse would hide what this size allocates
   malloc_trim(0);
   std::ifstream statm("/proc/self/statm");
   double total = 0;
@@ -74,14 +76,14 @@
 }
 
 double
-Quantile(std::vector<double> aValues, double aShare)
+Quantile(std::vector<double> aValues, double aFraction)
 {
   if (aValues.empty()) {
     return -1;
   }
   std::sort(aValues.begin(), aValues.end());
   const auto last = static_cast<double>(aValues.size() - 1);
-  return aValues[static_cast<std::size_t>(std::ceil(aShare * last))];
+  return aValues[static_cast<std::size_t>(std::ceil(aFraction * last))];
 }
 
 void
@@ -98,7 +100,7 @@
   return static_cast<double>(aAfter - aBefore) / aSeconds;
 }
 
-/// Bytes and processor time of all daemons together.
+/// Bytes sent and processor time, summed over all daemons.
 struct FleetTotals
 {
   double bytesSent = 0;
@@ -117,17 +119,17 @@
   return totals;
 }
 
-/// What soft records cost on top of the steady state.
+/// Measures the cost of soft records in addition to the steady state.
 void
 MeasureRecords(ControlFleet& aFleet, const ControlBenchSettings& aSettings,
                ControlFigures& aFigures)
 {
   const FleetTotals before = Total(aFleet);
-  const TimePoint begun = aFleet.GetClock().Now();
+  const TimePoint start = aFleet.GetClock().Now();
   const auto placed =
-    static_cast<double>(aFleet.PlaceRecords(aSettings.recordsPerSecond, aSettings.recordSpan));
+    static_cast<double>(aFleet.PlaceRecords(aSettings.recordsPerSecond, aSettings.recordDuration));
   const FleetTotals after = Total(aFleet);
-  const double seconds = std::chrono::duration<double>(aFleet.GetClock().Now() - begun).count();
+  const double seconds = std::chrono::duration<double>(aFleet.GetClock().Now() - start).count();
   const double daemons = static_cast<double>(aFigures.size.daemons);
   const double idleBytes = aFigures.sentPerSecond * daemons * seconds;
   const double idleCpu = aFigures.cpuShare * daemons * seconds;
@@ -136,13 +138,13 @@
 }
 
 void
-MeasureSteadyState(ControlFleet& aFleet, Seconds aSpan, ControlFigures& aFigures)
+MeasureSteadyState(ControlFleet& aFleet, Seconds aDuration, ControlFigures& aFigures)
 {
   const auto before = aFleet.Usage();
-  const TimePoint begun = aFleet.GetClock().Now();
-  std::this_thread::sleep_for(aSpan);
+  const TimePoint start = aFleet.GetClock().Now();
+  std::this_thread::sleep_for(aDuration);
   const auto after = aFleet.Usage();
-  const double seconds = std::chrono::duration<double>(aFleet.GetClock().Now() - begun).count();
+  const double seconds = std::chrono::duration<double>(aFleet.GetClock().Now() - start).count();
   const auto count = static_cast<double>(after.size());
   for (std::size_t index = 0; index < after.size(); ++index) {
     const TransportCounters& now = after[index].counters;
@@ -159,7 +161,7 @@
     aFigures.datagramsPerSecond +=
       PerSecond(now.datagramsSent, then.datagramsSent, seconds) / count;
     aFigures.cpuShare += cpu / count;
-    aFigures.polled += static_cast<double>(after[index].watched) / count;
+    aFigures.polledEndpoints += static_cast<double>(after[index].polledEndpoints) / count;
     aFigures.loadAges.insert(aFigures.loadAges.end(), after[index].loadAges.begin(),
                              after[index].loadAges.end());
     aFigures.worstSentPerSecond = std::max(aFigures.worstSentPerSecond, sent);
@@ -169,31 +171,35 @@
 }
 
 void
-MeasureSpreading(ControlFleet& aFleet, const ControlBenchSettings& aSettings,
-                 ControlFigures& aFigures)
+MeasurePropagation(ControlFleet& aFleet, const ControlBenchSettings& aSettings,
+                   ControlFigures& aFigures)
 {
   const FleetSize size = aFigures.size;
-  const std::size_t regional = (size.daemons + size.regions - 1) / size.regions;
+  const std::size_t daemonsPerRegion = (size.daemons + size.regions - 1) / size.regions;
   const std::size_t endpoints = size.endpoints / size.regions;
   for (std::size_t round = 0; round < aSettings.rounds; ++round) {
     const std::size_t publisher = round * 7 % size.daemons;
-    Append(aFigures.stateWithoutLog, aFleet.SpreadState(publisher, aSettings.stateBytes),
-           size.daemons, aFigures);
-    Append(aFigures.stateWithLog, aFleet.FollowLog(aSettings.stateBytes), size.daemons, aFigures);
+    Append(aFigures.stateWithoutLog,
+           aFleet.MeasureStatePropagation(publisher, aSettings.stateBytes), size.daemons, aFigures);
+    Append(aFigures.stateWithLog, aFleet.MeasureLogPropagation(aSettings.stateBytes), size.daemons,
+           aFigures);
   }
-  Append(aFigures.host, aFleet.SpreadHost(), regional, aFigures);
-  aFigures.sharedListBytes = static_cast<double>(aFleet.SharedListBytes());
-  // Single notices first, then what is left of half the endpoints at once
-  const std::size_t single = std::min(aSettings.rounds, endpoints / 4);
-  for (std::size_t index = 0; index < single; ++index) {
-    Append(aFigures.reclaim, aFleet.SpreadReclaim(std::array{ index }), regional, aFigures);
+  Append(aFigures.newHost, aFleet.MeasureHostPropagation(), daemonsPerRegion, aFigures);
+  aFigures.sharedListBytes = static_cast<double>(aFleet.SharedHostListBytes());
+  // Report endpoints one by one first, then all others of half of the region's endpoints at once
+  const std::size_t singleCount = std::min(aSettings.rounds, endpoints / 4);
+  for (std::size_t index = 0; index < singleCount; ++index) {
+    Append(aFigures.reclaim, aFleet.MeasureReclaimPropagation(std::array{ index }),
+           daemonsPerRegion, aFigures);
   }
-  std::vector<std::size_t> domain;
-  for (std::size_t index = single; index < endpoints / 2; ++index) {
-    domain.push_back(index);
+  std::vector<std::size_t> remainingEndpoints;
+  for (std::size_t index = singleCount; index < endpoints / 2; ++index) {
+    remainingEndpoints.push_back(index);
   }
-  Append(aFigures.domainReclaim, aFleet.SpreadReclaim(domain), regional, aFigures);
-  Append(aFigures.death, aFleet.DetectDeath(size.daemons / 2), regional - 1, aFigures);
+  Append(aFigures.domainReclaim, aFleet.MeasureReclaimPropagation(remainingEndpoints),
+         daemonsPerRegion, aFigures);
+  Append(aFigures.daemonFailure, aFleet.MeasureFailureDetection(size.daemons / 2),
+         daemonsPerRegion - 1, aFigures);
 }
 
 Result<ControlFigures>
@@ -209,17 +215,17 @@
   if (!started) {
     return started.error();
   }
-  std::this_thread::sleep_for(aSettings.settle);
-  MeasureSteadyState(fleet, aSettings.measured, figures);
+  std::this_thread::sleep_for(aSettings.settleTime);
+  MeasureSteadyState(fleet, aSettings.measuredTime, figures);
   figures.residentBytes = (ResidentBytes() - residentBefore) / static_cast<double>(aSize.daemons);
   std::cerr << fmt::format("  sent {:.0f} B/s, received {:.0f} B/s, processor {:.3f}%\n",
                            figures.sentPerSecond, figures.receivedPerSecond,
                            100 * figures.cpuShare);
-  // Each daemon talks to half of its region: more daemons would need more descriptors than a process
-  if (aSize.daemons <= aSettings.largestWithRecords) {
+  // Each daemon connects to half of its region: more daemons would exceed the descriptor limit of a process
+  if (aSize.daemons <= aSettings.maxDaemonsForRecords) {
     MeasureRecords(fleet, aSettings, figures);
   }
-  MeasureSpreading(fleet, aSettings, figures);
+  MeasurePropagation(fleet, aSettings, figures);
   std::cerr << fmt::format(
     "  known on all: reclaim p99 {:.1f} ms, state without log p99 {:.1f} ms\n",
     Quantile(figures.reclaim, 0.99), Quantile(figures.stateWithoutLog, 0.99));
@@ -249,7 +255,7 @@
            { "cpu_share", aFigures.cpuShare },
            { "worst_cpu_share", aFigures.worstCpuShare },
            { "resident_bytes", aFigures.residentBytes },
-           { "endpoints_polled", aFigures.polled },
+           { "endpoints_polled", aFigures.polledEndpoints },
            { "load_age", TimesToJson(aFigures.loadAges) },
            { "bytes_per_soft_record", aFigures.bytesPerRecord },
            { "cpu_seconds_per_soft_record", aFigures.cpuPerRecord },
@@ -257,13 +263,13 @@
            { "domain_reclaim_known", TimesToJson(aFigures.domainReclaim) },
            { "state_in_force_with_log", TimesToJson(aFigures.stateWithLog) },
            { "state_in_force_without_log", TimesToJson(aFigures.stateWithoutLog) },
-           { "new_host_known", TimesToJson(aFigures.host) },
+           { "new_host_known", TimesToJson(aFigures.newHost) },
            { "shared_host_list_bytes", aFigures.sharedListBytes },
-           { "death_removed", TimesToJson(aFigures.death) },
+           { "death_removed", TimesToJson(aFigures.daemonFailure) },
            { "unreached", aFigures.unreached } };
 }
 
-/// Slopes over the sizes: constant, per daemon of the region, per endpoint of the region.
+/// Linear fit over the sizes: constant, slope per daemon of a region, slope per endpoint of a region.
 nlohmann::json
 SlopesToJson(const std::vector<ControlFigures>& aFigures)
 {
@@ -289,7 +295,7 @@
            { "resident_bytes", fit(&ControlFigures::residentBytes) } };
 }
 
-/// What reads over HTTP cost: an engine's load, and the host list per host that it names.
+/// Cost of HTTP reads: of an engine's load, and of the host list, per host in it.
 nlohmann::json
 MeasureReads()
 {
@@ -313,7 +319,7 @@
            { "host_list_1260_cpu_seconds", large.value().cpuSeconds } };
 }
 
-/// What claims of non-idempotent requests cost the daemon that batches their shard.
+/// Cost of claims of non-idempotent requests to the daemon that batches their shard.
 nlohmann::json
 MeasureClaimCosts()
 {
@@ -323,7 +329,7 @@
   return { { "record_bytes", cost.recordBytes },
            { "heap_bytes", cost.heapBytes },
            { "write_cpu_seconds", cost.writeCpuSeconds },
-           { "fold_cpu_seconds", cost.foldCpuSeconds } };
+           { "fold_cpu_seconds", cost.applyCpuSeconds } };
 }
 
 ControlBenchSettings
@@ -353,7 +359,7 @@
       size.regions = std::max<std::size_t>(1, read());
       settings.sizes = { size };
     } else if (argument == "--seconds" && index + 1 < aArguments.size()) {
-      settings.measured = Seconds(std::atoi(std::string(aArguments[++index]).c_str()));
+      settings.measuredTime = Seconds(std::atoi(std::string(aArguments[++index]).c_str()));
     } else {
       std::cerr << "control: unknown argument " << argument << '\n';
       settings.sizes.clear();
@@ -383,21 +389,21 @@
     return 2;
   }
   RaiseDescriptorLimit();
-  std::vector<ControlFigures> all;
+  std::vector<ControlFigures> allFigures;
   for (const FleetSize& size : settings.sizes) {
     auto figures = Measure(size, settings);
     if (!figures) {
       std::cerr << "control: " << figures.error().message << '\n';
       return 1;
     }
-    all.push_back(std::move(figures.value()));
+    allFigures.push_back(std::move(figures.value()));
   }
   nlohmann::json document{ { "bench", "control" },
                            { "sizes", nlohmann::json::array() },
-                           { "slopes", SlopesToJson(all) },
+                           { "slopes", SlopesToJson(allFigures) },
                            { "claims", MeasureClaimCosts() },
                            { "reads", MeasureReads() } };
-  for (const ControlFigures& figures : all) {
+  for (const ControlFigures& figures : allFigures) {
     document["sizes"].push_back(ToJson(figures));
   }
   std::cout << (settings.json ? document.dump() : document.dump(2)) << '\n';
--- a/Bench/ControlFleet.cpp
+++ b/Bench/ControlFleet.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-constexpr Milliseconds kSpreadTimeout{ 10000 };
+constexpr Milliseconds kPropagationTimeout{ 10000 };
 constexpr Milliseconds kDetectionTimeout{ 20000 };
 constexpr std::string_view kBenchKey =
   "1:000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f";
-constexpr Milliseconds kGrace{ 30000 };
+constexpr Milliseconds kReclaimGrace{ 30000 };
 
 std::string
 RegionName(std::size_t aRegion)
@@ -25,40 +25,40 @@
 } // namespace
 
 void
-ArrivalBoard::Begin(std::size_t aDaemons, const Clock& aClock)
+PropagationTracker::Begin(std::size_t aDaemons, const Clock& aClock)
 {
   const std::lock_guard lock(this->mutex);
-  this->arrived.assign(aDaemons, -1);
-  this->missing = aDaemons;
-  this->begun = aClock.Now();
+  this->arrivalTimes.assign(aDaemons, -1);
+  this->pendingArrivals = aDaemons;
+  this->startTime = aClock.Now();
 }
 
 void
-ArrivalBoard::Arrive(std::size_t aDaemon, const Clock& aClock)
+PropagationTracker::RecordArrival(std::size_t aDaemon, const Clock& aClock)
 {
   const std::lock_guard lock(this->mutex);
-  if (aDaemon < this->arrived.size() && this->arrived[aDaemon] < 0) {
-    this->arrived[aDaemon] =
-      std::chrono::duration<double, std::milli>(aClock.Now() - this->begun).count();
-    --this->missing;
+  if (aDaemon < this->arrivalTimes.size() && this->arrivalTimes[aDaemon] < 0) {
+    this->arrivalTimes[aDaemon] =
+      std::chrono::duration<double, std::milli>(aClock.Now() - this->startTime).count();
+    --this->pendingArrivals;
   }
 }
 
 std::vector<double>
-ArrivalBoard::Wait(Milliseconds aTimeout)
+PropagationTracker::WaitForAll(Milliseconds aTimeout)
 {
   constexpr Milliseconds kStep{ 5 };
-  for (Milliseconds waited{ 0 }; this->missing > 0 && waited < aTimeout; waited += kStep) {
+  for (Milliseconds waited{ 0 }; this->pendingArrivals > 0 && waited < aTimeout; waited += kStep) {
     std::this_thread::sleep_for(kStep);
   }
   const std::lock_guard lock(this->mutex);
   std::vector<double> times;
-  for (const double time : this->arrived) {
+  for (const double time : this->arrivalTimes) {
     if (time >= 0) {
       times.push_back(time);
     }
   }
-  this->arrived.clear();
+  this->arrivalTimes.clear();
   return times;
 }
 
@@ -97,30 +97,30 @@
         aDone(this->loads.Read(aEndpoint.id));
       });
 
-    // What the spreading tests wait for
+    // Record the arrival of the changes that the measurements wait for
     daemon->OnState([this, index](const SharedState&) {
-      this->board.Arrive(index, this->clock);
+      this->tracker.RecordArrival(index, this->clock);
       return true;
     });
     daemon->OnEndpoints([this, index, service = daemon.get()] {
       const std::lock_guard lock(this->expectationMutex);
       const auto& facts = service->Loads().Facts();
-      const bool all = std::all_of(
+      const bool allLeaving = std::all_of(
         this->expectedLeaving.begin(), this->expectedLeaving.end(), [&](EndpointKey aKey) {
           const auto fact = facts.find(aKey);
           return fact != facts.end() && fact->second.state == EndpointState::Leaving;
         });
       if (this->expectedHost != 0 && facts.contains(this->expectedHost)) {
-        this->board.Arrive(index / this->size.regions, this->clock);
+        this->tracker.RecordArrival(index / this->size.regions, this->clock);
       }
-      if (all && !this->expectedLeaving.empty()) {
-        this->board.Arrive(index / this->size.regions, this->clock);
+      if (allLeaving && !this->expectedLeaving.empty()) {
+        this->tracker.RecordArrival(index / this->size.regions, this->clock);
       }
     });
     daemon->OnPeers([this, index](const PeerViewPtr& aView) {
       const std::lock_guard lock(this->expectationMutex);
-      if (this->expectedDead != 0 && aView->Find(this->expectedDead) == nullptr) {
-        this->board.Arrive(index, this->clock);
+      if (this->expectedRemoval != 0 && aView->Find(this->expectedRemoval) == nullptr) {
+        this->tracker.RecordArrival(index, this->clock);
       }
     });
     auto started = daemon->Start();
@@ -183,14 +183,15 @@
 }
 
 std::vector<double>
-ControlFleet::SpreadReclaim(std::span<const std::size_t> aIndexes)
+ControlFleet::MeasureReclaimPropagation(std::span<const std::size_t> aIndexes)
 {
-  const std::size_t inRegion = (this->size.daemons + this->size.regions - 1) / this->size.regions;
+  const std::size_t daemonsInRegion =
+    (this->size.daemons + this->size.regions - 1) / this->size.regions;
   std::vector<std::string> ids;
   for (const std::size_t index : aIndexes) {
     ids.push_back(this->EndpointId(index * this->size.regions));
   }
-  this->board.Begin(inRegion, this->clock);
+  this->tracker.Begin(daemonsInRegion, this->clock);
   {
     const std::lock_guard lock(this->expectationMutex);
     for (const std::string& id : ids) {
@@ -198,27 +199,27 @@
     }
   }
   for (const std::string& id : ids) {
-    this->daemons[0]->ReportEndpoint(id, EndpointState::Leaving, kGrace);
+    this->daemons[0]->ReportEndpoint(id, EndpointState::Leaving, kReclaimGrace);
   }
-  auto times = this->board.Wait(kSpreadTimeout);
+  auto times = this->tracker.WaitForAll(kPropagationTimeout);
   const std::lock_guard lock(this->expectationMutex);
   this->expectedLeaving.clear();
   return times;
 }
 
 std::vector<double>
-ControlFleet::SpreadState(std::size_t aDaemon, std::size_t aBytes)
+ControlFleet::MeasureStatePropagation(std::size_t aDaemon, std::size_t aBytes)
 {
-  this->board.Begin(this->daemons.size(), this->clock);
-  this->board.Arrive(aDaemon, this->clock);
+  this->tracker.Begin(this->daemons.size(), this->clock);
+  this->tracker.RecordArrival(aDaemon, this->clock);
   this->daemons[aDaemon]->PublishState(this->NextState(aBytes));
-  return this->board.Wait(kSpreadTimeout);
+  return this->tracker.WaitForAll(kPropagationTimeout);
 }
 
 std::vector<double>
-ControlFleet::FollowLog(std::size_t aBytes)
+ControlFleet::MeasureLogPropagation(std::size_t aBytes)
 {
-  // Each daemon's reader waits for the record on a thread of its own, as a long poll would
+  // A separate thread per daemon waits for the record, like the long poll of a log reader
   std::mutex mutex;
   std::condition_variable appended;
   std::optional<SharedState> record;
@@ -231,16 +232,16 @@
       lock.unlock();
       MembershipService& daemon = *this->daemons[index];
       daemon.PublishState(std::move(state));
-      daemon.Loop().Run([&] { this->board.Arrive(index, this->clock); });
+      daemon.Loop().Run([&] { this->tracker.RecordArrival(index, this->clock); });
     });
   }
-  this->board.Begin(this->daemons.size(), this->clock);
+  this->tracker.Begin(this->daemons.size(), this->clock);
   {
     const std::lock_guard lock(mutex);
     record = this->NextState(aBytes);
   }
   appended.notify_all();
-  auto times = this->board.Wait(kSpreadTimeout);
+  auto times = this->tracker.WaitForAll(kPropagationTimeout);
   for (std::thread& reader : readers) {
     reader.join();
   }
@@ -248,16 +249,17 @@
 }
 
 std::vector<double>
-ControlFleet::SpreadHost()
+ControlFleet::MeasureHostPropagation()
 {
-  const std::size_t inRegion = (this->size.daemons + this->size.regions - 1) / this->size.regions;
+  const std::size_t daemonsInRegion =
+    (this->size.daemons + this->size.regions - 1) / this->size.regions;
   HostEntry host;
   host.id = fmt::format("engine-added-{}", this->addedHosts.size());
   host.address = "127.0.0.1";
   host.region = RegionName(0);
   this->addedHosts.push_back(host);
   const auto hosts = this->MakeHosts();
-  this->board.Begin(inRegion, this->clock);
+  this->tracker.Begin(daemonsInRegion, this->clock);
   {
     const std::lock_guard lock(this->expectationMutex);
     this->expectedHost = ToEndpointKey(host.id);
@@ -267,17 +269,17 @@
       this->daemons[index]->ApplyHostList(hosts);
     }
   }
-  auto times = this->board.Wait(kSpreadTimeout);
+  auto times = this->tracker.WaitForAll(kPropagationTimeout);
   const std::lock_guard lock(this->expectationMutex);
   this->expectedHost = 0;
   return times;
 }
 
 std::size_t
-ControlFleet::SharedListBytes() const
+ControlFleet::SharedHostListBytes() const
 {
-  HostListShare share(this->clock, RegionName(0), HostListSettings());
-  const auto state = share.OnRead(this->MakeHosts());
+  HostListShare distribution(this->clock, RegionName(0), HostListSettings());
+  const auto state = distribution.OnRead(this->MakeHosts());
   return state ? state->bytes.size() : 0;
 }
 
@@ -301,23 +303,23 @@
 }
 
 std::vector<double>
-ControlFleet::DetectDeath(std::size_t aDaemon)
+ControlFleet::MeasureFailureDetection(std::size_t aDaemon)
 {
-  this->board.Begin(this->daemons.size(), this->clock);
+  this->tracker.Begin(this->daemons.size(), this->clock);
   for (std::size_t index = 0; index < this->daemons.size(); ++index) {
-    // Counted are the daemons of its region; the others hear of it later, over the regions' links
+    // Only daemons of the same region count: other regions receive the removal later, over inter-region links
     if (index == aDaemon || index % this->size.regions != aDaemon % this->size.regions) {
-      this->board.Arrive(index, this->clock);
+      this->tracker.RecordArrival(index, this->clock);
     }
   }
   {
     const std::lock_guard lock(this->expectationMutex);
-    this->expectedDead = ToPeerKey(fmt::format("daemon-{:04}", aDaemon));
+    this->expectedRemoval = ToPeerKey(fmt::format("daemon-{:04}", aDaemon));
   }
   this->Kill(aDaemon);
-  auto times = this->board.Wait(kDetectionTimeout);
+  auto times = this->tracker.WaitForAll(kDetectionTimeout);
   const std::lock_guard lock(this->expectationMutex);
-  this->expectedDead = 0;
+  this->expectedRemoval = 0;
   std::erase_if(times, [](double aTime) { return aTime < 1; });
   return times;
 }
--- a/Bench/ControlFleet.h
+++ b/Bench/ControlFleet.h
@@ -19,48 +19,49 @@
   std::size_t regions = 1;
 };
 
-/// What one daemon has used so far.
+/// Resources that one daemon's control plane has used since its start.
 struct ControlUsage
 {
   TransportCounters counters;
   std::chrono::nanoseconds cpu{ 0 };
-  std::size_t watched = 0;      ///< Endpoints that it polls.
+  std::size_t polledEndpoints = 0;
   std::vector<double> loadAges; ///< Milliseconds since each known load was read.
 };
 
-/// Waits until something is known on all daemons, and keeps when each learned of it.
-class ArrivalBoard
+/// Records when a change reaches each daemon and waits until it has reached all. Arrivals may be recorded
+/// from any thread.
+class PropagationTracker
 {
 public:
-  /// Begins a new round over that many daemons.
+  /// Starts a new measurement over aDaemons daemons.
   void Begin(std::size_t aDaemons, const Clock& aClock);
 
-  /// Notes that one daemon has learned of it; later calls of the same round change nothing.
-  void Arrive(std::size_t aDaemon, const Clock& aClock);
+  /// Records that the change has reached a daemon. Only the first call per daemon and measurement counts.
+  void RecordArrival(std::size_t aDaemon, const Clock& aClock);
 
-  /// Waits until all have, or the time is over.
-  /// @return milliseconds that each daemon took; those that never learned of it are missing
-  [[nodiscard]] std::vector<double> Wait(Milliseconds aTimeout);
+  /// Waits until the change has reached all daemons, or until the timeout.
+  /// @return milliseconds until the change reached each daemon; without the daemons it did not reach
+  [[nodiscard]] std::vector<double> WaitForAll(Milliseconds aTimeout);
 
 private:
   std::mutex mutex;
-  TimePoint begun;
-  std::vector<double> arrived; ///< Negative until a daemon has arrived.
-  std::atomic<std::size_t> missing{ 0 };
+  TimePoint startTime;
+  std::vector<double> arrivalTimes; ///< Milliseconds, by daemon; negative until the arrival.
+  std::atomic<std::size_t> pendingArrivals{ 0 };
 };
 
-/// Many daemons' control planes in this process, each with its own control thread and sockets on
-/// loopback, before endpoints that exist only as SyntheticLoads.
+/// Control planes of many daemons in this process, each with its own control thread and loopback
+/// sockets. The endpoints are simulated: their loads come from SyntheticLoads.
 class ControlFleet
 {
 public:
   explicit ControlFleet(FleetSize aSize);
   ~ControlFleet();
 
-  /// Starts all daemons and gives them the host list.
+  /// Starts all daemons and applies the host list on each.
   [[nodiscard]] Result<void> Start();
 
-  /// Stops a daemon without a word.
+  /// Stops a daemon without announcing to its peers that it leaves.
   void Kill(std::size_t aDaemon);
 
   [[nodiscard]] MembershipService& Daemon(std::size_t aIndex);
@@ -68,29 +69,31 @@
   [[nodiscard]] const Clock& GetClock() const;
   [[nodiscard]] std::vector<ControlUsage> Usage();
 
-  /// Times until endpoints that daemon 0 reports as leaving are known on all daemons of its region.
-  /// @param aIndexes  endpoints of region 0, by number within the region
-  [[nodiscard]] std::vector<double> SpreadReclaim(std::span<const std::size_t> aIndexes);
+  /// Milliseconds until each daemon of region 0 knows that the endpoints are leaving. Daemon 0 reports them.
+  /// @param aIndexes  endpoints of region 0, by index within the region
+  [[nodiscard]] std::vector<double> MeasureReclaimPropagation(
+    std::span<const std::size_t> aIndexes);
 
-  /// Times until a shared state that one daemon publishes is in force on all.
-  [[nodiscard]] std::vector<double> SpreadState(std::size_t aDaemon, std::size_t aBytes);
+  /// Milliseconds until each daemon has applied a shared state that one daemon publishes.
+  [[nodiscard]] std::vector<double> MeasureStatePropagation(std::size_t aDaemon,
+                                                            std::size_t aBytes);
 
-  /// Times until a shared state that every daemon reads from a log is in force on all.
-  [[nodiscard]] std::vector<double> FollowLog(std::size_t aBytes);
+  /// Milliseconds until each daemon has applied a shared state that all daemons read from a log.
+  [[nodiscard]] std::vector<double> MeasureLogPropagation(std::size_t aBytes);
 
-  /// Times until a new endpoint, which only the readers of the host list see, is known on all daemons
-  /// of region 0.
-  [[nodiscard]] std::vector<double> SpreadHost();
+  /// Milliseconds until each daemon of region 0 knows a new endpoint. Only the daemons that read the host
+  /// list receive it directly.
+  [[nodiscard]] std::vector<double> MeasureHostPropagation();
 
-  /// Bytes of the host list as it is shared within region 0.
-  [[nodiscard]] std::size_t SharedListBytes() const;
+  /// Size in bytes of the host list in the form that is distributed within region 0.
+  [[nodiscard]] std::size_t SharedHostListBytes() const;
 
-  /// Lets every daemon place soft records at a steady rate.
-  /// @return records placed in all
+  /// Has every daemon place soft records at a steady rate.
+  /// @return total number of records placed
   [[nodiscard]] std::size_t PlaceRecords(std::size_t aPerSecond, Seconds aSpan);
 
-  /// Times until the others of its region have removed a daemon that was killed.
-  [[nodiscard]] std::vector<double> DetectDeath(std::size_t aDaemon);
+  /// Milliseconds until each other daemon of the region has removed a daemon that was killed.
+  [[nodiscard]] std::vector<double> MeasureFailureDetection(std::size_t aDaemon);
 
 private:
   [[nodiscard]] std::vector<HostEntry> MakeHosts() const;
@@ -101,12 +104,12 @@
   FleetSize size;
   SyntheticLoads loads;
   std::vector<std::unique_ptr<MembershipService>> daemons;
-  ArrivalBoard board;
+  PropagationTracker tracker;
   std::mutex expectationMutex;
   std::vector<EndpointKey> expectedLeaving; ///< Guarded by expectationMutex.
   EndpointKey expectedHost = 0;             ///< Guarded by expectationMutex.
-  PeerKey expectedDead = 0;                 ///< Guarded by expectationMutex.
-  std::vector<HostEntry> addedHosts;        ///< Beside those of the fleet's size.
+  PeerKey expectedRemoval = 0;              ///< Guarded by expectationMutex.
+  std::vector<HostEntry> addedHosts; ///< In addition to the hosts that the fleet's size gives.
   std::int64_t lastVersion = 0;
 };
 
--- a/Bench/DecisionsBench.cpp
+++ b/Bench/DecisionsBench.cpp
@@ -27,7 +27,7 @@
   return Simulation<Policy>(aDeployment, aScenario, aTuning, aSeed).Run();
 }
 
-/// A policy by the name it has on the command line.
+/// A policy and its name on the command line.
 struct PolicyEntry
 {
   std::string_view name;
@@ -44,7 +44,7 @@
   { "bound", ComputeBound },
 } };
 
-/// What was asked for on the command line.
+/// Command-line options.
 struct Options
 {
   std::string deployment;
@@ -125,7 +125,7 @@
   if (values.count("set") > 0) {
     for (const std::string& text : values["set"].as<std::vector<std::string>>()) {
       if (!options.tuning.Set(text)) {
-        std::cerr << "no setting of that form: " << text << '\n';
+        std::cerr << "unknown setting or invalid value, expected name=number: " << text << '\n';
         return 2;
       }
     }
--- a/Bench/LinearFit.cpp
+++ b/Bench/LinearFit.cpp
@@ -19,7 +19,7 @@
   if (this->samples.size() < 3) {
     return std::nullopt;
   }
-  // Around the means, two slopes are left to solve for
+  // With the samples centered on their means, only the two slopes are unknown
   Sample mean;
   for (const Sample& sample : this->samples) {
     mean.first += sample.first / count;
--- a/Bench/LinearFit.h
+++ b/Bench/LinearFit.h
@@ -5,22 +5,22 @@
 
 namespace lagoonward::bench {
 
-/// A plane over two quantities.
+/// A plane: a value as a linear function of two quantities.
 struct FittedPlane
 {
   double constant = 0;
   double first = 0;           ///< Slope in the first quantity.
-  double second = 0;          ///< Slope in the second one.
-  double largestResidual = 0; ///< Largest distance of a sample from the plane.
+  double second = 0;          ///< Slope in the second quantity.
+  double largestResidual = 0; ///< Largest absolute difference of a sample from the plane.
 };
 
-/// Least squares over samples of two quantities.
+/// Least-squares fit of a plane to samples of two quantities.
 class LinearFit
 {
 public:
   void Add(double aFirst, double aSecond, double aValue);
 
-  /// Nothing when the samples do not determine a plane.
+  /// @return std::nullopt if the samples do not determine a plane
   [[nodiscard]] std::optional<FittedPlane> Solve() const;
 
 private:
--- a/Bench/Main.cpp
+++ b/Bench/Main.cpp
@@ -17,7 +17,7 @@
 
 constexpr int kExitUsage = 2;
 
-/// A bench by the name it has on the command line.
+/// A benchmark and its name on the command line.
 struct Subcommand
 {
   std::string_view name;
--- a/Bench/PathBench.cpp
+++ b/Bench/PathBench.cpp
@@ -26,15 +26,16 @@
 constexpr int kEngines = 64;
 constexpr unsigned kClientThreads = 4;
 constexpr int kLatencyRounds = 20;
-constexpr int kEndlessTokens = 32'000; ///< More than any stream lives to see.
+/// More than any stream generates before the benchmark ends it.
+constexpr int kUnboundedTokens = 32'000;
 constexpr Milliseconds kTimeout{ 60'000 };
 constexpr double kMegabyte = 1U << 20U;
 
-/// What was asked for on the command line.
+/// Command-line options.
 struct Options
 {
   int openStreams = 1000;
-  int calls = 4000; ///< For the first byte, of each kind.
+  int calls = 4000; ///< First-byte measurements, direct and through the daemon each.
   int tokenStreams = 400;
   int stepMs = 20;
   int seconds = 8;
@@ -44,7 +45,7 @@
   bool json = false;
 };
 
-/// What was measured.
+/// Measurements of one run.
 struct Figures
 {
   double directP50 = 0; ///< Milliseconds to the first byte.
@@ -53,26 +54,27 @@
   double daemonP99 = 0;
   double tokensPerSecond = 0;
   double tokensPerCoreSecond = 0;
-  double servicesPerCoreSecond = 0;
+  double serviceCallsPerCoreSecond = 0;
   double completionsPerCoreSecond = 0;
-  double idleMb = 0;     ///< Resident before any request; all of this program.
-  double streamsMb = 0;  ///< What the daemon holds for the open streams.
-  double residentMb = 0; ///< All of this program with the streams open, peers included.
+  double idleMb = 0;    ///< Resident memory of this program before the first request.
+  double streamsMb = 0; ///< Allocated by the daemon for the open streams.
+  /// Resident memory of this program with the streams open, engine and callers included.
+  double residentMb = 0;
   int failed = 0;
   std::string firstFailure;
 };
 
 double
-Quantile(std::vector<double> aValues, double aShare)
+Quantile(std::vector<double> aValues, double aFraction)
 {
   if (aValues.empty()) {
     return 0;
   }
   std::sort(aValues.begin(), aValues.end());
-  return aValues[static_cast<std::size_t>(aShare * static_cast<double>(aValues.size() - 1))];
+  return aValues[static_cast<std::size_t>(aFraction * static_cast<double>(aValues.size() - 1))];
 }
 
-/// Megabytes that are allocated now.
+/// Megabytes of heap that are allocated now.
 double
 AllocatedMegabytes()
 {
@@ -80,7 +82,7 @@
   return static_cast<double>(info.uordblks + info.hblkhd) / kMegabyte;
 }
 
-/// The engine, the daemon before it and the callers.
+/// One benchmark run: the engine, the daemon in front of it and the callers.
 class PathRun
 {
 public:
@@ -88,7 +90,7 @@
     : options(aOptions)
     , engine({ .step = Milliseconds(aOptions.stepMs) })
     , client(kClientThreads)
-    , oneClient(1)
+    , sequentialClient(1)
   {
   }
 
@@ -107,12 +109,12 @@
     this->MeasureMemory();
     this->MeasureFirstByte();
     this->MeasureTokens();
-    this->MeasureShort();
+    this->MeasureShortRequests();
     return this->figures;
   }
 
 private:
-  /// A completion through the daemon.
+  /// Completion requests through the daemon.
   [[nodiscard]] Load MakeDaemonLoad(int aTokens, bool aStream) const
   {
     Load load;
@@ -127,7 +129,7 @@
     return load;
   }
 
-  /// The same straight to the engine.
+  /// The same completion requests sent directly to the engine.
   [[nodiscard]] Load MakeDirectLoad(int aTokens) const
   {
     Load load;
@@ -150,7 +152,7 @@
     return report;
   }
 
-  /// Opens streams, has something measured while all are open, and ends them.
+  /// Opens aCount streams, runs aAction while all are open, and ends them.
   template<typename Action>
   void WithOpenStreams(Load aLoad, int aCount, Action aAction)
   {
@@ -166,46 +168,46 @@
   void MeasureMemory()
   {
     this->figures.idleMb = ResidentMegabytes();
-    // Slow streams: they only have to be open
+    // A long token interval: the streams only have to be open
     this->engine.SetStep(Milliseconds(200));
     double direct = AllocatedMegabytes();
-    this->WithOpenStreams(this->MakeDirectLoad(kEndlessTokens), this->options.openStreams,
+    this->WithOpenStreams(this->MakeDirectLoad(kUnboundedTokens), this->options.openStreams,
                           [&] { direct = AllocatedMegabytes() - direct; });
-    double through = AllocatedMegabytes();
-    this->WithOpenStreams(this->MakeDaemonLoad(kEndlessTokens, true), this->options.openStreams,
+    double viaDaemon = AllocatedMegabytes();
+    this->WithOpenStreams(this->MakeDaemonLoad(kUnboundedTokens, true), this->options.openStreams,
                           [&] {
-                            through = AllocatedMegabytes() - through;
+                            viaDaemon = AllocatedMegabytes() - viaDaemon;
                             this->figures.residentMb = ResidentMegabytes();
                           });
-    this->figures.streamsMb = through - direct;
+    this->figures.streamsMb = viaDaemon - direct;
     this->engine.SetStep(Milliseconds(this->options.stepMs));
   }
 
   void MeasureFirstByte()
   {
-    // In turns, so that both see the same machine
+    // Alternate, so that both are measured under the same machine load
     std::vector<double> direct;
-    std::vector<double> through;
+    std::vector<double> viaDaemon;
     for (int round = 0; round < kLatencyRounds; ++round) {
       for (const bool isDirect : { true, false }) {
         Load load = isDirect ? this->MakeDirectLoad(1) : this->MakeDaemonLoad(1, true);
         load.total = this->options.calls / kLatencyRounds;
-        this->oneClient.Begin(load);
-        const LoadReport report = this->Finish(this->oneClient);
-        auto& all = isDirect ? direct : through;
+        this->sequentialClient.Begin(load);
+        const LoadReport report = this->Finish(this->sequentialClient);
+        auto& all = isDirect ? direct : viaDaemon;
         all.insert(all.end(), report.firstByte.begin(), report.firstByte.end());
       }
     }
     this->figures.directP50 = Quantile(direct, 0.5);
     this->figures.directP99 = Quantile(direct, 0.99);
-    this->figures.daemonP50 = Quantile(through, 0.5);
-    this->figures.daemonP99 = Quantile(through, 0.99);
+    this->figures.daemonP50 = Quantile(viaDaemon, 0.5);
+    this->figures.daemonP99 = Quantile(viaDaemon, 0.99);
   }
 
   void MeasureTokens()
   {
     this->WithOpenStreams(
-      this->MakeDaemonLoad(kEndlessTokens, true), this->options.tokenStreams, [&] {
+      this->MakeDaemonLoad(kUnboundedTokens, true), this->options.tokenStreams, [&] {
         const auto tokensBefore = this->daemon->Counters().tokensRelayed.load();
         const double cpuBefore = this->daemon->ProcessorSeconds();
         std::this_thread::sleep_for(Seconds(this->options.seconds));
@@ -227,7 +229,7 @@
     return report.whole / (this->daemon->ProcessorSeconds() - cpuBefore);
   }
 
-  void MeasureShort()
+  void MeasureShortRequests()
   {
     this->figures.completionsPerCoreSecond =
       this->MeasureClosedLoop(this->MakeDaemonLoad(1, false));
@@ -235,7 +237,7 @@
     service.request.url = fmt::format("http://127.0.0.1:{}/v1/services/{}/release",
                                       this->daemon->Port(), PathDaemon::kService);
     service.request.body = R"({"plant":9})";
-    this->figures.servicesPerCoreSecond = this->MeasureClosedLoop(service);
+    this->figures.serviceCallsPerCoreSecond = this->MeasureClosedLoop(service);
   }
 
   const Options& options;
@@ -243,7 +245,7 @@
   PathEngine engine;
   std::unique_ptr<PathDaemon> daemon;
   LoadClient client;
-  LoadClient oneClient; ///< For one request at a time.
+  LoadClient sequentialClient; ///< Sends one request at a time.
 };
 
 bool
@@ -294,7 +296,7 @@
                            aFigures.tokensPerSecond, aFigures.tokensPerCoreSecond);
   std::cout << fmt::format(
     "short requests    completions {:.0f}/s, service calls {:.0f}/s per core\n",
-    aFigures.completionsPerCoreSecond, aFigures.servicesPerCoreSecond);
+    aFigures.completionsPerCoreSecond, aFigures.serviceCallsPerCoreSecond);
   std::cout << fmt::format(
     "memory, MB        idle {:.1f}, the daemon's for the streams {:.1f}, together {:.1f}; with "
     "engine and callers {:.1f}\n",
@@ -314,7 +316,8 @@
                                { "tokens_per_second", aFigures.tokensPerSecond },
                                { "tokens_per_core_second", aFigures.tokensPerCoreSecond },
                                { "completions_per_core_second", aFigures.completionsPerCoreSecond },
-                               { "service_calls_per_core_second", aFigures.servicesPerCoreSecond },
+                               { "service_calls_per_core_second",
+                                 aFigures.serviceCallsPerCoreSecond },
                                { "open_streams", aOptions.openStreams },
                                { "idle_mb", aFigures.idleMb },
                                { "streams_mb", aFigures.streamsMb },
@@ -333,9 +336,9 @@
   if (!ReadOptions(aArguments, options)) {
     return kExitUsage;
   }
-  // The daemon's log lines are part of what is measured, but not of the report
+  // Writing the daemon's log lines is part of the measured cost, but the lines are not part of the report
   if (std::freopen(options.logFile.c_str(), "w", stderr) == nullptr) {
-    std::cout << "Cannot write " << options.logFile << ".\n";
+    std::cout << "Cannot open the log file for writing: " << options.logFile << ".\n";
     return kExitUsage;
   }
   StartLogging(LogLevel::Info);
@@ -351,7 +354,8 @@
     PrintText(figures);
   }
   if (figures.failed > 0) {
-    std::cout << figures.failed << " answers were not whole, the first: " << figures.firstFailure
+    std::cout << figures.failed
+              << " responses failed or were incomplete; first failure: " << figures.firstFailure
               << '\n';
     return 1;
   }
--- a/Bench/ReadCost.cpp
+++ b/Bench/ReadCost.cpp
@@ -57,7 +57,7 @@
   return hosts.dump();
 }
 
-/// Serves one body on loopback and times reads of it on this thread.
+/// Serves aBody on loopback and measures the processor time of reads on the calling thread.
 template<typename Read>
 Result<ReadCost>
 Measure(const std::string& aBody, std::size_t aRounds, Read aRead)
@@ -70,7 +70,7 @@
     return started.error();
   }
   const auto read = aRead(fmt::format("http://127.0.0.1:{}", server.Port()));
-  // The first read opens the connection
+  // The first read opens the connection and is not measured
   Result<void> outcome = read();
   const double before = ThreadSeconds();
   for (std::size_t round = 0; round < aRounds && outcome; ++round) {
@@ -117,7 +117,8 @@
         return hosts.error();
       }
       if (hosts.value().size() != aHosts) {
-        return Error(ErrorKind::Internal, "the host list came back incomplete");
+        return Error(ErrorKind::Internal,
+                     "the host list response does not have the expected number of hosts");
       }
       return boost::outcome_v2::success();
     };
--- a/Bench/ReadCost.h
+++ b/Bench/ReadCost.h
@@ -6,18 +6,20 @@
 
 namespace lagoonward::bench {
 
-/// Cost of one HTTP read, as a daemon's control side makes it.
+/// Cost of one HTTP read as made by a daemon's control plane.
 struct ReadCost
 {
   double bodyBytes = 0;
-  double cpuSeconds = 0; ///< Of the calling thread: request, answer and decoding.
+  double cpuSeconds = 0; ///< Processor time of the calling thread: request, response and decoding.
 };
 
-/// Reads one engine's load again and again from a server on loopback.
+/// Reads one engine's load aRounds times from a loopback server.
+/// @return means per read, or the error of the first read that failed
 [[nodiscard]] Result<ReadCost>
 MeasureLoadRead(std::size_t aRounds);
 
-/// Reads a host list of that many hosts again and again from a server on loopback.
+/// Reads a list of aHosts hosts aRounds times from a loopback server.
+/// @return means per read, or the error of the first read that failed
 [[nodiscard]] Result<ReadCost>
 MeasureHostListRead(std::size_t aHosts, std::size_t aRounds);
 
--- a/Bench/ReclaimBench.cpp
+++ b/Bench/ReclaimBench.cpp
@@ -19,14 +19,14 @@
 constexpr int kExitUsage = 2;
 constexpr int kDefaultSeeds = 10;
 
-/// Results of one policy over all seeds.
+/// Results of one policy, summed over all seeds; the longest gap is the maximum.
 struct Summary
 {
   double recomputed = 0;
   double longestGap = 0;
   int streams = 0;
   int lost = 0;
-  int intoGoing = 0;
+  int movesIntoLeaving = 0;
   std::array<int, 4> moves{};
 
   void Add(const ReclaimOutcome& aOutcome)
@@ -35,7 +35,7 @@
     this->longestGap = std::max(this->longestGap, aOutcome.longestGapSeconds);
     this->streams += aOutcome.streams;
     this->lost += aOutcome.lost;
-    this->intoGoing += aOutcome.intoGoing;
+    this->movesIntoLeaving += aOutcome.movesIntoLeaving;
     for (std::size_t index = 0; index < this->moves.size(); ++index) {
       this->moves[index] += aOutcome.moves[index];
     }
@@ -55,7 +55,7 @@
     }
     return { { "streams", this->streams }, { "recomputed_tokens", this->recomputed },
              { "shares", shares },         { "longest_gap_seconds", this->longestGap },
-             { "lost", this->lost },       { "moves_into_leaving", this->intoGoing } };
+             { "lost", this->lost },       { "moves_into_leaving", this->movesIntoLeaving } };
   }
 };
 
@@ -83,14 +83,15 @@
            { "retry_from_scratch", baseline.ToJson() } };
 }
 
-/// The number behind `--seeds`, or nothing.
+/// Parses the value of `--seeds`.
+/// @return std::nullopt if it is not a positive integer
 std::optional<int>
 ReadSeeds(const std::string& aText)
 {
   int seeds = 0;
   const auto [end, error] = std::from_chars(aText.data(), aText.data() + aText.size(), seeds);
-  const bool whole = error == std::errc() && end == aText.data() + aText.size();
-  return whole && seeds > 0 ? std::optional<int>(seeds) : std::nullopt;
+  const bool isInteger = error == std::errc() && end == aText.data() + aText.size();
+  return isInteger && seeds > 0 ? std::optional<int>(seeds) : std::nullopt;
 }
 
 void
@@ -114,11 +115,11 @@
   int seeds = kDefaultSeeds;
   for (std::size_t index = 0; index < aArguments.size(); ++index) {
     const bool hasValue = index + 1 < aArguments.size();
-    const auto number = hasValue ? ReadSeeds(aArguments[index + 1]) : std::nullopt;
+    const auto seedCount = hasValue ? ReadSeeds(aArguments[index + 1]) : std::nullopt;
     if (aArguments[index] == "--json") {
       json = true;
-    } else if (aArguments[index] == "--seeds" && number) {
-      seeds = *number;
+    } else if (aArguments[index] == "--seeds" && seedCount) {
+      seeds = *seedCount;
       ++index;
     } else {
       std::cerr << "usage: lagoonward-bench reclaim [--json] [--seeds N]\n";
--- a/Bench/ReclaimSimulation.h
+++ b/Bench/ReclaimSimulation.h
@@ -13,39 +13,40 @@
 
 namespace lagoonward::bench {
 
-/// The fleet and the load that the reclaim bench makes up. Utslipp's size and shape by default: long
-/// dossiers beside short queries on nine engines and more in four failure domains.
+/// Synthetic fleet and load of the reclaim benchmark. The defaults have Utslipp's size and shape: long
+/// dossiers and short queries on nine engines and more in four failure domains.
 struct ReclaimScenario
 {
   int domains = 4;
   int enginesPerDomain = 4;
   int streamsPerEngine = 14;
   int slotsPerEngine = 40;
-  double longShare = 0.6; ///< Of the streams; the rest are short queries.
+  double longShare = 0.6; ///< Fraction of dossiers; the rest are short queries.
   double tokensPerSecond = 30;
   double prefillTokensPerSecond = 8'000;
-  double linkBytesPerSecond = 1.25e9; ///< Each engine's link, 10 Gbit/s.
+  double linkBytesPerSecond = 1.25e9; ///< Of each engine's link: 10 Gbit/s.
   double kvBytesPerToken = 131'072;   ///< 32 layers, 8 key-value heads of 128, 16 bits.
-  double cachedShare = 0.5;           ///< Chance that a second engine holds most of a prompt.
-  double guessSpread = 0.35;          ///< Error of the expected rest, as a log-normal sigma.
+  double cachedShare = 0.5; ///< Probability that a second engine has most of a prompt cached.
+  /// Log-normal sigma of the error of the expected remaining tokens.
+  double remainingErrorSigma = 0.35;
   Milliseconds grace{ 30'000 };
-  bool secondDomain = false;           ///< Whether another domain gets its notice meanwhile.
-  Milliseconds secondNotice{ 10'000 }; ///< When, after the first one.
+  bool secondDomain = false; ///< Whether a second domain gets its notice during the moves.
+  Milliseconds secondNotice{ 10'000 }; ///< Time of the second notice after the first one.
   std::uint64_t seed = 1;
 };
 
-/// What one run measured.
+/// Measurements of one run.
 struct ReclaimOutcome
 {
   double recomputedTokens = 0;
-  std::array<int, 4> moves{}; ///< By MoveKind; streams that finished in place included.
+  std::array<int, 4> moves{}; ///< By MoveKind, including streams that finished in place.
   double longestGapSeconds = 0;
-  int streams = 0;   ///< On engines that went away.
-  int lost = 0;      ///< Not finished at the end of the run.
-  int intoGoing = 0; ///< Moves to an engine that was already under notice.
+  int streams = 0;          ///< On engines that were reclaimed.
+  int lost = 0;             ///< Streams not finished at the end of the run.
+  int movesIntoLeaving = 0; ///< Moves to an engine that already had its reclaim notice.
 };
 
-/// Runs one policy through one scenario. The daemon keeps the tokens of every stream.
+/// Simulates one scenario under one policy in virtual time. The daemon holds the tokens of every stream.
 template<ReclaimPolicy Policy>
 class ReclaimSimulation
 {
@@ -59,7 +60,7 @@
   {
     std::string id;
     int domain = 0;
-    TimePoint goneAfter = TimePoint::max();
+    TimePoint availableUntil = TimePoint::max();
     TimePoint prefillBusyUntil;
     TimePoint linkBusyUntil;
   };
@@ -69,15 +70,16 @@
     std::string id;
     int engine = 0;
     double prompt = 0;
-    double generated = 0; ///< Held by the daemon and relayed.
+    double generated = 0; ///< Tokens relayed to the client and held by the daemon.
     double total = 0;
-    double guess = 0;       ///< Factor by which the expected rest is wrong.
-    double redo = 0;        ///< Tokens still to be generated again before a new one comes.
-    TimePoint blockedUntil; ///< Waits for its prefill until then.
+    double remainingErrorFactor = 0; ///< Factor by which the expected remaining tokens are wrong.
+    /// Tokens still to be generated again before the next new one.
+    double tokensToRegenerate = 0;
+    TimePoint blockedUntil; ///< End of the prefill that the stream waits for.
     TimePoint lastToken;
     TimePoint deadline;
-    int cachedHome = -1;
-    int target = -1; ///< Of the transfer that runs.
+    int cachingEngine = -1;  ///< Engine that has most of the prompt cached; negative for none.
+    int transferTarget = -1; ///< Engine index; negative without a transfer in progress.
     TimePoint transferStart;
     TimePoint transferEnd;
     double generatedAtStart = 0;
@@ -87,25 +89,25 @@
   };
 
   void Build();
-  void Notice(int aDomain);
+  void GiveReclaimNotice(int aDomain);
   void Generate(Stream& aStream);
   void FinishTransfer(Stream& aStream);
   void Replan();
-  void Carry(Stream& aStream, const MovePlan& aMove);
-  void Resume(Stream& aStream, int aTarget, double aHeld, MoveKind aKind);
+  void StartMove(Stream& aStream, const MovePlan& aMove);
+  void Resume(Stream& aStream, int aTarget, double aPrefillTokens, MoveKind aKind);
   [[nodiscard]] StreamView View(const Stream& aStream) const;
   [[nodiscard]] std::vector<MoveTarget> Targets() const;
-  [[nodiscard]] bool IsGone(int aEngine) const;
+  [[nodiscard]] bool HasTerminated(int aEngine) const;
   [[nodiscard]] bool IsLeaving(int aEngine) const;
   [[nodiscard]] TimePoint After(double aSeconds) const;
 
   static constexpr Milliseconds kTick{ 20 };
-  static constexpr Milliseconds kReplan{ 500 };
-  static constexpr Milliseconds kLongestRun{ 900'000 };
+  static constexpr Milliseconds kReplanInterval{ 500 };
+  static constexpr Milliseconds kMaxRunDuration{ 900'000 };
 
   const Policy& policy;
   ReclaimScenario scenario;
-  bool fromScratch; ///< A moved stream generates its tokens again instead of prefilling them.
+  bool fromScratch; ///< Moved streams generate their tokens again instead of prefilling them.
   VirtualClock clock;
   std::mt19937_64 random;
   std::vector<Engine> engines;
@@ -138,7 +140,7 @@
   }
 
   std::uniform_real_distribution<double> uniform(0, 1);
-  std::normal_distribution<double> error(0, this->scenario.guessSpread);
+  std::normal_distribution<double> error(0, this->scenario.remainingErrorSigma);
   const int count = static_cast<int>(this->engines.size()) * this->scenario.streamsPerEngine;
   for (int index = 0; index < count; ++index) {
     Stream stream;
@@ -149,11 +151,11 @@
       isLong ? 4'000 + 20'000 * uniform(this->random) : 100 + 700 * uniform(this->random);
     stream.total = isLong ? 800 + 4'000 * uniform(this->random) : 40 + 160 * uniform(this->random);
     stream.generated = stream.total * uniform(this->random);
-    stream.guess = std::exp(error(this->random));
+    stream.remainingErrorFactor = std::exp(error(this->random));
     stream.deadline = this->clock.Now() + std::chrono::minutes(10);
     stream.lastToken = this->clock.Now();
     if (uniform(this->random) < this->scenario.cachedShare) {
-      stream.cachedHome = static_cast<int>(this->random() % this->engines.size());
+      stream.cachingEngine = static_cast<int>(this->random() % this->engines.size());
     }
     this->streams.push_back(stream);
   }
@@ -169,25 +171,25 @@
 
 template<ReclaimPolicy Policy>
 bool
-ReclaimSimulation<Policy>::IsGone(int aEngine) const
+ReclaimSimulation<Policy>::HasTerminated(int aEngine) const
 {
-  return this->engines[aEngine].goneAfter <= this->clock.Now();
+  return this->engines[aEngine].availableUntil <= this->clock.Now();
 }
 
 template<ReclaimPolicy Policy>
 bool
 ReclaimSimulation<Policy>::IsLeaving(int aEngine) const
 {
-  return this->engines[aEngine].goneAfter != TimePoint::max();
+  return this->engines[aEngine].availableUntil != TimePoint::max();
 }
 
 template<ReclaimPolicy Policy>
 void
-ReclaimSimulation<Policy>::Notice(int aDomain)
+ReclaimSimulation<Policy>::GiveReclaimNotice(int aDomain)
 {
   for (Engine& engine : this->engines) {
     if (engine.domain == aDomain) {
-      engine.goneAfter = this->clock.Now() + this->scenario.grace;
+      engine.availableUntil = this->clock.Now() + this->scenario.grace;
     }
   }
 }
@@ -200,23 +202,24 @@
   const Engine& engine = this->engines[aStream.engine];
   view.id = aStream.id;
   view.endpoint = engine.id;
-  view.goneAfter = engine.goneAfter;
+  view.goneAfter = engine.availableUntil;
   view.promptTokens = static_cast<int>(aStream.prompt);
   view.generatedTokens = static_cast<int>(aStream.generated);
-  view.expectedRemaining = (aStream.total - aStream.generated) * aStream.guess;
+  view.expectedRemaining = (aStream.total - aStream.generated) * aStream.remainingErrorFactor;
   view.tokensPerSecond = this->scenario.tokensPerSecond;
   view.deadline = aStream.deadline;
-  const double held = aStream.prompt + aStream.generated;
-  view.kvBytes = static_cast<std::int64_t>(held * this->scenario.kvBytesPerToken);
+  const double contextTokens = aStream.prompt + aStream.generated;
+  view.kvBytes = static_cast<std::int64_t>(contextTokens * this->scenario.kvBytesPerToken);
   view.exportBytesPerSecond = this->scenario.linkBytesPerSecond;
   for (std::size_t index = 0; index < this->engines.size(); ++index) {
-    const bool cached = static_cast<int>(index) == aStream.cachedHome;
+    const bool cached = static_cast<int>(index) == aStream.cachingEngine;
     view.candidates.push_back(
       { this->engines[index].id, cached ? static_cast<int>(aStream.prompt * 0.9) : 0 });
   }
-  if (aStream.target >= 0) {
-    view.inProgress = MoveInProgress{ MoveKind::ExportImport, this->engines[aStream.target].id,
-                                      aStream.transferStart, aStream.transferEnd };
+  if (aStream.transferTarget >= 0) {
+    view.inProgress =
+      MoveInProgress{ MoveKind::ExportImport, this->engines[aStream.transferTarget].id,
+                      aStream.transferStart, aStream.transferEnd };
   }
   return view;
 }
@@ -245,19 +248,19 @@
   return targets;
 }
 
-/// One tick of a stream: it waits, generates again what was lost, or generates new tokens.
+/// Advances a stream by one tick: it waits, generates lost tokens again, or generates new tokens.
 template<ReclaimPolicy Policy>
 void
 ReclaimSimulation<Policy>::Generate(Stream& aStream)
 {
-  if (this->IsGone(aStream.engine) || aStream.blockedUntil > this->clock.Now()) {
+  if (this->HasTerminated(aStream.engine) || aStream.blockedUntil > this->clock.Now()) {
     return;
   }
   double tokens =
     this->scenario.tokensPerSecond * std::chrono::duration<double>(Seconds(0) + kTick).count();
-  const double again = std::min(tokens, aStream.redo);
-  aStream.redo -= again;
-  tokens -= again;
+  const double regenerated = std::min(tokens, aStream.tokensToRegenerate);
+  aStream.tokensToRegenerate -= regenerated;
+  tokens -= regenerated;
   if (tokens <= 0) {
     return;
   }
@@ -277,19 +280,21 @@
 
 template<ReclaimPolicy Policy>
 void
-ReclaimSimulation<Policy>::Resume(Stream& aStream, int aTarget, double aHeld, MoveKind aKind)
+ReclaimSimulation<Policy>::Resume(Stream& aStream, int aTarget, double aPrefillTokens,
+                                  MoveKind aKind)
 {
   Engine& target = this->engines[aTarget];
-  this->outcome.intoGoing += this->IsLeaving(aTarget) ? 1 : 0;
+  this->outcome.movesIntoLeaving += this->IsLeaving(aTarget) ? 1 : 0;
   const TimePoint start = std::max(this->clock.Now(), target.prefillBusyUntil);
   target.prefillBusyUntil =
-    start + (this->After(aHeld / this->scenario.prefillTokensPerSecond) - this->clock.Now());
+    start +
+    (this->After(aPrefillTokens / this->scenario.prefillTokensPerSecond) - this->clock.Now());
   aStream.blockedUntil = target.prefillBusyUntil + ReclaimSettings().stepOverhead;
   aStream.engine = aTarget;
-  aStream.target = -1;
+  aStream.transferTarget = -1;
   aStream.moved = true;
   aStream.affected = true;
-  this->outcome.recomputedTokens += aHeld;
+  this->outcome.recomputedTokens += aPrefillTokens;
   ++this->outcome.moves[static_cast<int>(aKind)];
 }
 
@@ -297,23 +302,23 @@
 void
 ReclaimSimulation<Policy>::FinishTransfer(Stream& aStream)
 {
-  if (aStream.target < 0 || aStream.transferEnd > this->clock.Now()) {
+  if (aStream.transferTarget < 0 || aStream.transferEnd > this->clock.Now()) {
     return;
   }
-  const int target = aStream.target;
-  aStream.target = -1;
-  // A transfer that did not end before its source or target went is worth nothing
-  if (this->IsGone(aStream.engine) || this->IsLeaving(target)) {
+  const int target = aStream.transferTarget;
+  aStream.transferTarget = -1;
+  // Discard a transfer whose source terminated before its end, or whose target is leaving
+  if (this->HasTerminated(aStream.engine) || this->IsLeaving(target)) {
     return;
   }
   this->Resume(aStream, target, aStream.generated - aStream.generatedAtStart,
                MoveKind::ExportImport);
 }
 
-/// Does what the plan says is due now.
+/// Starts the planned move if it is due.
 template<ReclaimPolicy Policy>
 void
-ReclaimSimulation<Policy>::Carry(Stream& aStream, const MovePlan& aMove)
+ReclaimSimulation<Policy>::StartMove(Stream& aStream, const MovePlan& aMove)
 {
   if (aMove.target.empty() || aMove.startAt > this->clock.Now()) {
     return;
@@ -324,30 +329,30 @@
   const int index = static_cast<int>(found - this->engines.begin());
 
   if (aMove.kind == MoveKind::Reprefill) {
-    const bool cached = index == aStream.cachedHome;
+    const bool cached = index == aStream.cachingEngine;
     const double prompt = aStream.prompt - (cached ? aStream.prompt * 0.9 : 0);
     if (this->fromScratch) {
       this->outcome.recomputedTokens += aStream.generated;
-      aStream.redo = aStream.generated;
+      aStream.tokensToRegenerate = aStream.generated;
       this->Resume(aStream, index, prompt, aMove.kind);
     } else {
       this->Resume(aStream, index, prompt + aStream.generated, aMove.kind);
     }
     return;
   }
-  if (aStream.target >= 0) {
-    return; // the transfer runs already
+  if (aStream.transferTarget >= 0) {
+    return; // a transfer is already in progress
   }
   Engine& source = this->engines[aStream.engine];
   const TimePoint start =
     std::max({ this->clock.Now(), source.linkBusyUntil, found->linkBusyUntil });
   const double bytes = (aStream.prompt + aStream.generated) * this->scenario.kvBytesPerToken;
-  const auto span = this->After(bytes / this->scenario.linkBytesPerSecond) - this->clock.Now();
-  source.linkBusyUntil = start + span;
-  found->linkBusyUntil = start + span;
-  aStream.target = index;
+  const auto duration = this->After(bytes / this->scenario.linkBytesPerSecond) - this->clock.Now();
+  source.linkBusyUntil = start + duration;
+  found->linkBusyUntil = start + duration;
+  aStream.transferTarget = index;
   aStream.transferStart = this->clock.Now();
-  aStream.transferEnd = start + span + ReclaimSettings().stepOverhead;
+  aStream.transferEnd = start + duration + ReclaimSettings().stepOverhead;
   aStream.generatedAtStart = aStream.generated;
 }
 
@@ -367,12 +372,13 @@
   const ManifestObjective objective{ 0.2, 0.8 };
   const auto moves = this->policy.PlanMoves(views, this->Targets(), objective, this->clock.Now());
   for (std::size_t index = 0; index < planned.size(); ++index) {
-    // A transfer whose target is no longer planned is given up
+    // Cancel a transfer whose target is no longer planned
     Stream& stream = *planned[index];
-    if (stream.target >= 0 && moves[index].target != this->engines[stream.target].id) {
-      stream.target = -1;
+    if (stream.transferTarget >= 0 &&
+        moves[index].target != this->engines[stream.transferTarget].id) {
+      stream.transferTarget = -1;
     }
-    this->Carry(stream, moves[index]);
+    this->StartMove(stream, moves[index]);
   }
 }
 
@@ -381,13 +387,13 @@
 ReclaimSimulation<Policy>::Run()
 {
   const TimePoint begin = this->clock.Now();
-  this->Notice(0);
+  this->GiveReclaimNotice(0);
   TimePoint nextPlan = begin;
-  bool secondGiven = !this->scenario.secondDomain;
-  while (this->clock.Now() - begin < kLongestRun) {
-    if (!secondGiven && this->clock.Now() - begin >= this->scenario.secondNotice) {
-      secondGiven = true;
-      this->Notice(1);
+  bool secondNoticeGiven = !this->scenario.secondDomain;
+  while (this->clock.Now() - begin < kMaxRunDuration) {
+    if (!secondNoticeGiven && this->clock.Now() - begin >= this->scenario.secondNotice) {
+      secondNoticeGiven = true;
+      this->GiveReclaimNotice(1);
       nextPlan = this->clock.Now();
     }
     for (Stream& stream : this->streams) {
@@ -398,7 +404,7 @@
     }
     if (this->clock.Now() >= nextPlan) {
       this->Replan();
-      nextPlan = this->clock.Now() + kReplan;
+      nextPlan = this->clock.Now() + kReplanInterval;
     }
     this->clock.Advance(kTick);
   }
--- a/Bench/RouteBench.cpp
+++ b/Bench/RouteBench.cpp
@@ -21,14 +21,14 @@
 constexpr std::size_t kPrompts = 200;
 constexpr std::size_t kBlocks = 160;
 
-/// Timings of one fleet size.
+/// Measurements of one fleet size.
 struct RouteTiming
 {
   int endpoints = 0;
-  double p50 = 0; ///< Nanoseconds for Choose().
+  double p50 = 0; ///< Nanoseconds of Choose().
   double p99 = 0;
-  double dispatchP50 = 0;        ///< Nanoseconds for OnDispatched() with its prefix blocks.
-  std::uint64_t allocations = 0; ///< In all Choose() calls together.
+  double dispatchP50 = 0;        ///< Nanoseconds of OnDispatched(), prefix blocks included.
+  std::uint64_t allocations = 0; ///< Sum over all Choose() calls.
   double publishP50 = 0;         ///< Microseconds to publish a fleet snapshot to the router.
 };
 
@@ -59,21 +59,21 @@
   return aValues[aValues.size() * static_cast<std::size_t>(aPercent) / 100];
 }
 
-/// Microseconds that the control thread takes to publish a snapshot: a copy of the market's endpoints,
-/// the routing table and its adoption. Median.
+/// Median time in microseconds that the control thread needs to publish a snapshot: copy the market's
+/// endpoints, build the routing table and install it in the router.
 double
 MeasurePublication(const FleetSnapshot& aFleet, const Manifest& aManifest, const Clock& aClock,
                    Router& aRouter)
 {
-  std::vector<double> micros;
+  std::vector<double> microseconds;
   for (int publication = 0; publication < kPublications; ++publication) {
     const TimePoint start = aClock.Now();
     FleetSnapshot copy;
     copy.endpoints = aFleet.endpoints;
     aRouter.Update(RoutingTable::Build(copy, aManifest, aClock));
-    micros.push_back(std::chrono::duration<double, std::micro>(aClock.Now() - start).count());
+    microseconds.push_back(std::chrono::duration<double, std::micro>(aClock.Now() - start).count());
   }
-  return Percentile(micros, 50);
+  return Percentile(microseconds, 50);
 }
 
 RouteTiming
--- a/Bench/SyntheticLoads.cpp
+++ b/Bench/SyntheticLoads.cpp
@@ -23,11 +23,12 @@
     if (found == this->states.end()) {
       running = std::poisson_distribution<int>(mean)(this->random);
     } else {
-      // Since the last reading some have ended and others begun
-      const double elapsed = std::chrono::duration<double>(now - found->second.at).count();
-      const double stays = std::exp(-elapsed / this->settings.secondsPerRequest);
-      running = std::binomial_distribution<int>(found->second.running, stays)(this->random) +
-                std::poisson_distribution<int>(mean * (1 - stays) + 1e-9)(this->random);
+      // Some requests have completed since the last read and others have started
+      const double elapsed = std::chrono::duration<double>(now - found->second.readAt).count();
+      const double survivalProbability = std::exp(-elapsed / this->settings.secondsPerRequest);
+      running =
+        std::binomial_distribution<int>(found->second.running, survivalProbability)(this->random) +
+        std::poisson_distribution<int>(mean * (1 - survivalProbability) + 1e-9)(this->random);
     }
     this->states[aEndpointId] = { running, now };
   }
--- a/Bench/SyntheticLoads.h
+++ b/Bench/SyntheticLoads.h
@@ -10,37 +10,37 @@
 
 namespace lagoonward::bench {
 
-/// How the made-up endpoints behave: requests arrive at random and stay for a while.
+/// Load model of the simulated endpoints: Poisson arrivals and exponential service times.
 struct SyntheticLoadSettings
 {
-  double arrivalsPerSecond = 4.3; ///< Per endpoint: 3,800 requests a second over 880.
-  double secondsPerRequest = 9.3; ///< Gives 40 running on average.
+  double arrivalsPerSecond = 4.3; ///< Per endpoint: 3,800 requests per second over 880 endpoints.
+  double secondsPerRequest = 9.3; ///< Mean; gives 40 running requests on average.
   std::int64_t kvBlocksPerRequest = 60;
   std::int64_t kvBlocksTotal = 4096;
   std::uint64_t seed = 1;
 };
 
-/// Loads of endpoints that exist only in the bench. Each is a queue of requests that come and go, so
-/// that readings change as much as those of a busy fleet. Safe from any thread.
+/// Loads of simulated endpoints. The number of running requests of each endpoint follows random arrivals
+/// and completions, so that loads change between reads as much as in a busy fleet. Thread-safe.
 class SyntheticLoads
 {
 public:
   SyntheticLoads(const Clock& aClock, SyntheticLoadSettings aSettings);
 
-  /// The endpoint's load now.
+  /// The endpoint's load at the clock's current time.
   [[nodiscard]] EndpointLoad Read(const std::string& aEndpointId);
 
 private:
   struct State
   {
     int running = 0;
-    TimePoint at;
+    TimePoint readAt;
   };
 
   const Clock& clock;
   SyntheticLoadSettings settings;
   std::mutex mutex;
-  std::mt19937_64 random; ///< Guarded by mutex, like the states.
+  std::mt19937_64 random; ///< Guarded by mutex, as are the states.
   std::unordered_map<std::string, State> states;
 };
 
--- a/Bench/ThreadTime.h
+++ b/Bench/ThreadTime.h
@@ -4,7 +4,7 @@
 
 namespace lagoonward::bench {
 
-/// Processor time that the calling thread has used.
+/// Processor time of the calling thread, in seconds.
 [[nodiscard]] inline double
 ThreadSeconds()
 {
--- a/Bench/VirtualLog.h
+++ b/Bench/VirtualLog.h
@@ -5,11 +5,11 @@
 
 namespace lagoonward::bench {
 
-/// A log of one stream in memory whose calls take virtual time.
+/// In-memory log with a single stream. Each call advances the virtual clock by a fixed latency.
 class VirtualLog final : public LogService
 {
 public:
-  /// @param aLatency  of each call
+  /// @param aLatency  virtual time that each call takes
   VirtualLog(VirtualClock& aClock, Milliseconds aLatency);
 
   [[nodiscard]] Result<Offset> Append(std::string_view aStream, std::string_view aRecord) override;
