--- a/Bench/ControlBench.cpp
+++ b/Bench/ControlBench.cpp
@@ -51,7 +51,7 @@
   double polledEndpoints = 0;
   double bytesPerRecord = 0;    ///< Sent by both daemons per placed soft record, response included.
   double cpuPerRecord = 0;      ///< Seconds, sum over both daemons.
-  std::vector<double> loadAges; ///< This and the following: milliseconds, one entry per sample.
+  std::vector<double> loadAges; ///< Milliseconds, as in the vectors below; one entry per sample.
   std::vector<double> reclaim;
   std::vector<double> domainReclaim;
   std::vector<double> stateWithLog;
