--- a/Bench/ControlFleet.cpp
+++ b/Bench/ControlFleet.cpp
@@ -169,7 +169,7 @@
     MembershipService& daemon = *this->daemons[index];
     daemon.Loop().Run([&] {
       usage[index] = {
-        daemon.Counters(), daemon.Loop().CpuTime(), daemon.Loads().WatchedCount(), {}
+        daemon.Counters(), daemon.Loop().CpuTime(), daemon.Loads().PolledCount(), {}
       };
       for (const auto& [key, fact] : daemon.Loads().Facts()) {
         if (fact.load) {
@@ -265,7 +265,7 @@
     this->expectedHost = ToEndpointKey(host.id);
   }
   for (std::size_t index = 0; index < this->daemons.size(); index += this->size.regions) {
-    if (this->daemons[index]->ReadsHostList()) {
+    if (this->daemons[index]->IsHostListReader()) {
       this->daemons[index]->ApplyHostList(hosts);
     }
   }
@@ -278,7 +278,7 @@
 std::size_t
 ControlFleet::SharedHostListBytes() const
 {
-  HostListShare distribution(this->clock, RegionName(0), HostListSettings());
+  HostListDistribution distribution(this->clock, RegionName(0), HostListSettings());
   const auto state = distribution.OnRead(this->MakeHosts());
   return state ? state->bytes.size() : 0;
 }
--- a/Bench/Decisions/BaselinePolicy.h
+++ b/Bench/Decisions/BaselinePolicy.h
@@ -100,12 +100,12 @@
     }
   }
 
-  [[nodiscard]] Result<void> Admit(const Ask& /*aPlacementRequest*/)
+  [[nodiscard]] Result<void> Admit(const PlacementRequest& /*aPlacementRequest*/)
   {
     return boost::outcome_v2::success();
   }
 
-  [[nodiscard]] Result<Placement> Place(const Ask& aPlacementRequest)
+  [[nodiscard]] Result<Placement> Place(const PlacementRequest& aPlacementRequest)
   {
     const WorkItem& item = *aPlacementRequest.item;
     RouteRequest request;
@@ -137,13 +137,13 @@
 
   void OnToken(std::uint32_t /*aRequest*/) {}
 
-  void OnEnd(std::uint32_t aRequest, AttemptEnd /*aEnd*/, bool /*aDone*/)
+  void OnEnd(std::uint32_t aRequest, AttemptResult /*aEnd*/, bool /*aDone*/)
   {
     const Placed& entry = this->placed[aRequest];
     this->outstanding[entry.daemon][entry.host]--;
   }
 
-  [[nodiscard]] bool MayRetry(const Ask& aPlacementRequest)
+  [[nodiscard]] bool MayRetry(const PlacementRequest& aPlacementRequest)
   {
     return aPlacementRequest.attempt < kAttempts;
   }
--- a/Bench/Decisions/Bound.cpp
+++ b/Bench/Decisions/Bound.cpp
@@ -117,7 +117,7 @@
   result.policy = "bound";
   result.seed = aSeed;
   result.scale = aDeployment.scale;
-  result.offered = result.accepted = result.answeredWhole = static_cast<int>(items.size());
+  result.offered = result.accepted = result.completed = static_cast<int>(items.size());
   for (const double tokens : work.outputTokens) {
     result.tokensGenerated += static_cast<std::int64_t>(tokens);
   }
--- a/Bench/Decisions/LagoonwardPolicy.cpp
+++ b/Bench/Decisions/LagoonwardPolicy.cpp
@@ -37,7 +37,7 @@
 }
 
 RouteRequest
-LagoonwardPolicy::ToRouteRequest(const Ask& aPlacementRequest) const
+LagoonwardPolicy::ToRouteRequest(const PlacementRequest& aPlacementRequest) const
 {
   const WorkItem& item = *aPlacementRequest.item;
   const ManifestClass& requestClass = this->deployment.manifest.classes[item.classIndex];
@@ -64,7 +64,7 @@
 }
 
 Result<void>
-LagoonwardPolicy::Admit(const Ask& aPlacementRequest)
+LagoonwardPolicy::Admit(const PlacementRequest& aPlacementRequest)
 {
   Running& entry = this->running[aPlacementRequest.request];
   entry.daemon = aPlacementRequest.item->daemon;
@@ -85,7 +85,7 @@
 }
 
 Result<Placement>
-LagoonwardPolicy::Place(const Ask& aPlacementRequest)
+LagoonwardPolicy::Place(const PlacementRequest& aPlacementRequest)
 {
   Running& entry = this->running[aPlacementRequest.request];
   Router& router = *this->daemons[entry.daemon].router;
@@ -119,16 +119,16 @@
 }
 
 void
-LagoonwardPolicy::OnEnd(std::uint32_t aRequest, AttemptEnd aEnd, bool aDone)
+LagoonwardPolicy::OnEnd(std::uint32_t aRequest, AttemptResult aEnd, bool aDone)
 {
   Running& entry = this->running[aRequest];
   Daemon& daemon = this->daemons[entry.daemon];
   auto outcome = DispatchOutcome::Completed;
-  if (aEnd != AttemptEnd::Completed) {
-    outcome = aEnd == AttemptEnd::Failed ? DispatchOutcome::Failed : DispatchOutcome::Cancelled;
+  if (aEnd != AttemptResult::Completed) {
+    outcome = aEnd == AttemptResult::Failed ? DispatchOutcome::Failed : DispatchOutcome::Cancelled;
   }
   daemon.router->OnFinished(entry.dispatch, outcome);
-  if (aEnd == AttemptEnd::Completed) {
+  if (aEnd == AttemptResult::Completed) {
     daemon.retries->OnSuccess();
   }
   if (aDone) {
@@ -143,9 +143,9 @@
 }
 
 bool
-LagoonwardPolicy::MayRetry(const Ask& aPlacementRequest)
+LagoonwardPolicy::MayRetry(const PlacementRequest& aPlacementRequest)
 {
-  return this->daemons[aPlacementRequest.item->daemon].retries->TryTake();
+  return this->daemons[aPlacementRequest.item->daemon].retries->TryConsume();
 }
 
 void
@@ -161,10 +161,10 @@
 LagoonwardPolicy::OnHeartbeat()
 {
   for (std::size_t from = 0; from < this->daemons.size(); ++from) {
-    const auto demand = this->daemons[from].admission->TakeDemand();
+    const auto demand = this->daemons[from].admission->CollectDemand();
     for (std::size_t to = 0; to < this->daemons.size(); ++to) {
       if (to != from) {
-        this->daemons[to].admission->OnPeer(from, demand);
+        this->daemons[to].admission->OnPeerDemand(from, demand);
       }
     }
   }
--- a/Bench/Decisions/LagoonwardPolicy.h
+++ b/Bench/Decisions/LagoonwardPolicy.h
@@ -26,17 +26,17 @@
                    std::uint64_t aSeed, std::size_t aRequests);
 
   void OnView(const FleetView& aView);
-  [[nodiscard]] Result<void> Admit(const Ask& aPlacementRequest);
-  [[nodiscard]] Result<Placement> Place(const Ask& aPlacementRequest);
+  [[nodiscard]] Result<void> Admit(const PlacementRequest& aPlacementRequest);
+  [[nodiscard]] Result<Placement> Place(const PlacementRequest& aPlacementRequest);
   void OnToken(std::uint32_t aRequest);
 
   /// @param aDone  whether the request has ended, not only the attempt
-  void OnEnd(std::uint32_t aRequest, AttemptEnd aEnd, bool aDone);
+  void OnEnd(std::uint32_t aRequest, AttemptResult aEnd, bool aDone);
 
   /// The request has completed successfully. Called before its OnEnd().
   /// @param aMet  whether its targets were met
   void OnCompleted(std::uint32_t aRequest, bool aMet);
-  [[nodiscard]] bool MayRetry(const Ask& aPlacementRequest);
+  [[nodiscard]] bool MayRetry(const PlacementRequest& aPlacementRequest);
   void OnCacheEvents(std::string_view aEndpoint, std::span<const std::uint64_t> aStored,
                      std::span<const std::uint64_t> aEvicted, bool aGap);
 
@@ -59,7 +59,7 @@
     std::optional<Ticket> ticket;
   };
 
-  [[nodiscard]] RouteRequest ToRouteRequest(const Ask& aPlacementRequest) const;
+  [[nodiscard]] RouteRequest ToRouteRequest(const PlacementRequest& aPlacementRequest) const;
 
   const Deployment& deployment;
   ManifestObjective objective;
--- a/Bench/Decisions/Policy.h
+++ b/Bench/Decisions/Policy.h
@@ -18,7 +18,7 @@
 };
 
 /// Request to a policy to admit or place one attempt.
-struct Ask
+struct PlacementRequest
 {
   std::uint32_t request = 0;
   const WorkItem* item = nullptr;
@@ -38,7 +38,7 @@
 };
 
 /// Outcome of an attempt, reported to the policy that placed it.
-enum class AttemptEnd
+enum class AttemptResult
 {
   Completed,
   Failed,
@@ -50,8 +50,9 @@
 /// kNoticeDelay: seconds from a reclaim notice until the daemons see it.
 /// kStallTimeout: seconds without a token before a connection is treated as stalled.
 template<typename Type>
-concept RoutePolicy = requires(Type aPolicy, const FleetView& aView, const Ask& aPlacementRequest,
-                               std::uint32_t aRequest, std::span<const std::uint64_t> aBlocks)
+concept RoutePolicy = requires(Type aPolicy, const FleetView& aView,
+                               const PlacementRequest& aPlacementRequest, std::uint32_t aRequest,
+                               std::span<const std::uint64_t> aBlocks)
 {
   {
     Type::kResumes
@@ -70,7 +71,7 @@
     aPolicy.Place(aPlacementRequest)
     } -> std::same_as<Result<Placement>>;
   aPolicy.OnToken(aRequest);
-  aPolicy.OnEnd(aRequest, AttemptEnd::Completed, true);
+  aPolicy.OnEnd(aRequest, AttemptResult::Completed, true);
   aPolicy.OnCompleted(aRequest, true);
   {
     aPolicy.MayRetry(aPlacementRequest)
--- a/Bench/Decisions/Report.cpp
+++ b/Bench/Decisions/Report.cpp
@@ -84,7 +84,7 @@
   json["scale"] = aResult.scale;
   json["offered"] = aResult.offered;
   json["accepted"] = aResult.accepted;
-  json["answered_whole"] = aResult.answeredWhole;
+  json["answered_whole"] = aResult.completed;
   json["lost"] = aResult.lost;
   json["duplicated"] = aResult.duplicated;
   json["refused_not_run"] = aResult.refusedNotRun;
@@ -113,7 +113,7 @@
   for (const RunResult& run : aResults) {
     text += fmt::format("{:<11}{:<20}{:<18}{:>5}{:>8}{:>8}{:>6}{:>5}{:>8}{:>11}{:>10.4f}{:>10.4f} ",
                         run.deployment, run.scenario, run.policy, run.seed, run.accepted,
-                        run.answeredWhole, run.lost, run.duplicated, run.refusedNotRun,
+                        run.completed, run.lost, run.duplicated, run.refusedNotRun,
                         run.tokensRecomputed, run.cost, run.CostAtTarget());
     for (const ClassResult& each : run.classes) {
       text += fmt::format(" {} {:.1f}% {:.0f} {:.0f};", each.name, each.Attainment() * kPercent,
--- a/Bench/Decisions/RunResult.h
+++ b/Bench/Decisions/RunResult.h
@@ -33,7 +33,7 @@
   double scale = 1;
   int offered = 0;
   int accepted = 0;
-  int answeredWhole = 0;
+  int completed = 0;
   int lost = 0;
   int duplicated = 0;
   int refusedNotRun = 0;
--- a/Bench/Decisions/Scenario.cpp
+++ b/Bench/Decisions/Scenario.cpp
@@ -68,7 +68,7 @@
   } else if (aName == "overload_5x") {
     scenario.load = { { 0, 1 }, { length * 0.2, 11 }, { length * 0.8, 1 } };
   } else if (aName == "silent_connections") {
-    scenario.silences = { length * 0.2, length * 0.4, length * 0.5, length * 0.7 };
+    scenario.connectionStalls = { length * 0.2, length * 0.4, length * 0.5, length * 0.7 };
   }
   return scenario;
 }
--- a/Bench/Decisions/Scenario.h
+++ b/Bench/Decisions/Scenario.h
@@ -46,7 +46,7 @@
   std::vector<ReclaimEvent> reclaims;
   std::vector<PriceEvent> prices;
   /// Times at which the open connections of one engine and one service stall, in seconds.
-  std::vector<double> silences;
+  std::vector<double> connectionStalls;
 
   /// Load factor at a time in seconds from the start.
   [[nodiscard]] double LoadAt(double aSeconds) const;
--- a/Bench/Decisions/Simulation.h
+++ b/Bench/Decisions/Simulation.h
@@ -13,9 +13,9 @@
 {
   bool done = false;
   bool accepted = false;
-  int relayed = 0;  ///< Tokens that the caller has received.
-  int attempts = 0; ///< Number of attempts placed so far.
-  int begun = 0;    ///< For plain services: number of times that a host has started it.
+  int relayed = 0;       ///< Tokens that the caller has received.
+  int attempts = 0;      ///< Number of attempts placed so far.
+  int serviceStarts = 0; ///< For plain services: number of times that a host has started it.
   double firstTokenAt = 0;
   double lastTokenAt = 0;
   std::uint32_t attempt = 0; ///< Index of the current attempt.
@@ -27,7 +27,7 @@
   std::uint32_t request = 0;
   std::uint32_t host = 0;
   bool live = true;
-  bool silent = false;   ///< Its connection has stalled; tokens do not arrive.
+  bool stalled = false;  ///< Its connection has stalled; tokens do not arrive.
   bool finished = false; ///< Its engine has generated the last token.
   int produced = 0; ///< Tokens of the answer generated so far, including those of earlier attempts.
   EngineJob job;    ///< Submitted when the transfer of the KV cache has ended.
@@ -88,8 +88,9 @@
   void Handle(const Event& aEvent);
   void HandleFleet(const Event& aEvent);
   void OnArrival(std::uint32_t aRequest);
-  [[nodiscard]] Ask MakePlacementRequest(std::uint32_t aRequest) const;
-  bool TryPlace(std::uint32_t aRequest, const Ask& aPlacementRequest, double aTransferSeconds);
+  [[nodiscard]] PlacementRequest MakePlacementRequest(std::uint32_t aRequest) const;
+  bool TryPlace(std::uint32_t aRequest, const PlacementRequest& aPlacementRequest,
+                double aTransferSeconds);
   void OnStepEnd(std::uint32_t aHost);
   void OnProduced(std::uint32_t aAttempt, bool aLast);
   void Relay(std::uint32_t aAttempt);
--- a/Bench/Decisions/SimulationEvents.h
+++ b/Bench/Decisions/SimulationEvents.h
@@ -16,15 +16,15 @@
   const Scenario& scenario = this->world.scenario;
   for (std::uint32_t index = 0; index < scenario.reclaims.size(); ++index) {
     const ReclaimEvent& reclaim = scenario.reclaims[index];
-    this->world.Schedule(reclaim.at, EventKind::Notice, index);
+    this->world.Schedule(reclaim.at, EventKind::ReclaimNotice, index);
     this->world.Schedule(reclaim.at + Policy::kNoticeDelay, EventKind::NoticeVisible, index);
     this->world.Schedule(reclaim.at + reclaim.replacementDelay, EventKind::Replacement, index);
   }
   for (std::uint32_t index = 0; index < scenario.prices.size(); ++index) {
-    this->world.Schedule(scenario.prices[index].at, EventKind::Price, index);
+    this->world.Schedule(scenario.prices[index].at, EventKind::PriceChange, index);
   }
-  for (const double at : scenario.silences) {
-    this->world.Schedule(at, EventKind::Silence);
+  for (const double at : scenario.connectionStalls) {
+    this->world.Schedule(at, EventKind::ConnectionStall);
   }
   this->world.TakeSample();
   this->policy.OnView(this->world.MakeView());
@@ -49,13 +49,13 @@
       return this->OnMoveStart(aEvent.subject, aEvent.extra);
     case EventKind::MoveEnd:
       return this->OnMoveEnd(aEvent.subject);
-    case EventKind::Silence:
+    case EventKind::ConnectionStall:
       return this->OnConnectionStall();
     case EventKind::StallTimeout:
       return this->OnStallTimeout(aEvent.subject);
     case EventKind::Deadline:
       return this->OnDeadline(aEvent.subject);
-    case EventKind::Gone:
+    case EventKind::HostTerminated:
       return this->OnHostTerminated(aEvent.subject);
     case EventKind::Replan:
       return this->PlanMoves(aEvent.subject);
@@ -87,13 +87,13 @@
       this->world.cacheUpdates[aEvent.subject] = {};
       break;
     }
-    case EventKind::Notice:
+    case EventKind::ReclaimNotice:
       this->world.GiveNotice(scenario.reclaims[aEvent.subject]);
       break;
     case EventKind::NoticeVisible:
       for (std::uint32_t host = 0; host < this->world.hosts.size(); ++host) {
         HostState& state = this->world.hosts[host];
-        if (state.noticed && !state.leaving) {
+        if (state.reclaimNoticed && !state.leaving) {
           state.leaving = true;
           this->world.Schedule(0, EventKind::Replan, host);
         }
@@ -101,12 +101,12 @@
       this->policy.OnView(this->world.MakeView());
       break;
     case EventKind::HostDelisted:
-      this->world.hosts[aEvent.subject].forgotten = true;
+      this->world.hosts[aEvent.subject].delisted = true;
       break;
     case EventKind::Replacement:
       this->world.AddReplacements(scenario.reclaims[aEvent.subject]);
       break;
-    case EventKind::Price:
+    case EventKind::PriceChange:
       this->world.ChangePrice(scenario.prices[aEvent.subject]);
       break;
     default:
@@ -118,7 +118,7 @@
 void
 Simulation<Policy>::OnHostTerminated(std::uint32_t aHost)
 {
-  this->world.hosts[aHost].gone = true;
+  this->world.hosts[aHost].terminated = true;
   for (std::uint32_t attempt = 0; attempt < this->attempts.size(); ++attempt) {
     if (this->attempts[attempt].live && this->attempts[attempt].host == aHost) {
       this->FailAttempt(attempt, true);
@@ -131,7 +131,7 @@
 Simulation<Policy>::PlanMoves(std::uint32_t aHost)
 {
   const HostState& host = this->world.hosts[aHost];
-  if (!Policy::kResumes || host.gone) {
+  if (!Policy::kResumes || host.terminated) {
     return;
   }
   this->planNumberOfHost.resize(this->world.hosts.size());
@@ -164,14 +164,14 @@
                           ? (running.lastTokenAt - running.firstTokenAt) / (running.relayed - 1)
                           : kDefaultStepSeconds;
     state.contextTokens = this->items[request].promptTokens + running.relayed;
-    HostExitPlan plan = PlanMove(state, this->moves);
-    if (plan.kind == HostExit::FinishInPlace) {
+    StreamMovePlan plan = PlanMove(state, this->moves);
+    if (plan.kind == StreamMoveKind::FinishInPlace) {
       continue;
     }
 
     // A stream without tokens has no KV cache to transfer
-    const bool transfer = plan.kind == HostExit::Transfer && running.relayed > 0;
-    state.laterTokens += transfer ? state.contextTokens : 0;
+    const bool transfer = plan.kind == StreamMoveKind::Transfer && running.relayed > 0;
+    state.laterTransferTokens += transfer ? state.contextTokens : 0;
     const double start = running.relayed > 0 ? plan.startInSeconds : 0;
     this->world.Schedule(start, EventKind::MoveStart, attempt, number * 2 + (transfer ? 1 : 0));
   }
@@ -193,8 +193,8 @@
   if (this->world.hosts[host].engine) {
     this->world.hosts[host].engine->Cancel(aAttempt);
   }
-  this->policy.OnEnd(request, AttemptEnd::Moved, false);
-  Ask placementRequest = this->MakePlacementRequest(request);
+  this->policy.OnEnd(request, AttemptResult::Moved, false);
+  PlacementRequest placementRequest = this->MakePlacementRequest(request);
   placementRequest.failedHost = host;
   placementRequest.imported = transfer;
   const double context = this->items[request].promptTokens + this->requests[request].relayed;
@@ -224,7 +224,7 @@
   std::vector<std::uint32_t> engines;
   std::vector<std::uint32_t> services;
   for (std::uint32_t host = 0; host < this->world.hosts.size(); ++host) {
-    if (!this->world.hosts[host].gone) {
+    if (!this->world.hosts[host].terminated) {
       (this->world.hosts[host].engine ? engines : services).push_back(host);
     }
   }
@@ -240,7 +240,7 @@
   for (std::uint32_t attempt = 0; attempt < this->attempts.size(); ++attempt) {
     AttemptState& state = this->attempts[attempt];
     if (state.live && (state.host == engine || state.host == service)) {
-      state.silent = true;
+      state.stalled = true;
       this->world.Schedule(Policy::kStallTimeout, EventKind::StallTimeout, attempt);
     }
   }
@@ -260,7 +260,7 @@
   }
 
   // Reconnecting succeeds, and the engine has retained the stream
-  attempt.silent = false;
+  attempt.stalled = false;
   if (attempt.produced > this->requests[attempt.request].relayed) {
     this->Relay(aAttempt);
   }
--- a/Bench/Decisions/SimulationRequests.h
+++ b/Bench/Decisions/SimulationRequests.h
@@ -7,11 +7,11 @@
 namespace lagoonward::bench {
 
 template<RoutePolicy Policy>
-Ask
+PlacementRequest
 Simulation<Policy>::MakePlacementRequest(std::uint32_t aRequest) const
 {
   const WorkItem& item = this->items[aRequest];
-  Ask placementRequest;
+  PlacementRequest placementRequest;
   placementRequest.request = aRequest;
   placementRequest.item = &item;
   placementRequest.relayedTokens = Policy::kResumes ? this->requests[aRequest].relayed : 0;
@@ -31,7 +31,7 @@
   ClassResult& each = this->result.classes[item.classIndex];
   ++each.offered;
   ++this->result.offered;
-  const Ask placementRequest = this->MakePlacementRequest(aRequest);
+  const PlacementRequest placementRequest = this->MakePlacementRequest(aRequest);
   if (!this->policy.Admit(placementRequest) || !this->TryPlace(aRequest, placementRequest, 0)) {
     ++this->result.refusedNotRun;
     this->requests[aRequest].done = true;
@@ -48,7 +48,7 @@
 
 template<RoutePolicy Policy>
 bool
-Simulation<Policy>::TryPlace(std::uint32_t aRequest, const Ask& aPlacementRequest,
+Simulation<Policy>::TryPlace(std::uint32_t aRequest, const PlacementRequest& aPlacementRequest,
                              double aTransferSeconds)
 {
   const auto placement = this->policy.Place(aPlacementRequest);
@@ -66,7 +66,7 @@
   state.host = host;
   state.produced = aPlacementRequest.relayedTokens;
   if (!this->world.hosts[host].engine) {
-    ++request.begun;
+    ++request.serviceStarts;
     this->attempts.push_back(state);
     this->world.Schedule(kServiceSeconds, EventKind::ServiceDone, attempt);
     return true;
@@ -87,7 +87,7 @@
     this->world.Schedule(aTransferSeconds, EventKind::MoveEnd, attempt);
     return true;
   }
-  if (this->world.hosts[host].gone) {
+  if (this->world.hosts[host].terminated) {
     // The connection is refused
     this->FailAttempt(attempt, false);
     return true;
@@ -101,7 +101,7 @@
 void
 Simulation<Policy>::OnStepEnd(std::uint32_t aHost)
 {
-  if (this->world.hosts[aHost].gone) {
+  if (this->world.hosts[aHost].terminated) {
     return;
   }
   this->tokens.clear();
@@ -122,7 +122,7 @@
   }
   ++attempt.produced;
   attempt.finished = aLast;
-  if (attempt.silent) {
+  if (attempt.stalled) {
     return;
   }
   this->Relay(aAttempt);
@@ -161,7 +161,7 @@
   AttemptState& attempt = this->attempts[aAttempt];
   attempt.live = false;
   this->policy.OnCompleted(attempt.request, this->MetTargets(attempt.request));
-  this->policy.OnEnd(attempt.request, AttemptEnd::Completed, true);
+  this->policy.OnEnd(attempt.request, AttemptResult::Completed, true);
   this->CloseRequest(attempt.request, true);
 }
 
@@ -173,12 +173,12 @@
   const WorkItem& item = this->items[aRequest];
   request.done = true;
   --this->openRequests;
-  this->result.duplicated += !item.repeatable && request.begun > 1 ? 1 : 0;
+  this->result.duplicated += !item.repeatable && request.serviceStarts > 1 ? 1 : 0;
   if (!aCompleted) {
     ++this->result.lost;
     return;
   }
-  ++this->result.answeredWhole;
+  ++this->result.completed;
   this->result.tokensGenerated += item.outputTokens;
   if (this->MetTargets(aRequest)) {
     ++this->result.classes[item.classIndex].met;
@@ -207,7 +207,7 @@
   AttemptState& attempt = this->attempts[aAttempt];
   const std::uint32_t request = attempt.request;
   attempt.live = false;
-  this->policy.OnEnd(request, AttemptEnd::Failed, false);
+  this->policy.OnEnd(request, AttemptResult::Failed, false);
   const bool isRepeatable = !Policy::kResumes || this->items[request].repeatable;
   const bool resumesWithoutRetry = Policy::kResumes && aAnnounced;
   if (!isRepeatable ||
@@ -227,7 +227,7 @@
   if (this->requests[aRequest].done) {
     return;
   }
-  Ask placementRequest = this->MakePlacementRequest(aRequest);
+  PlacementRequest placementRequest = this->MakePlacementRequest(aRequest);
   placementRequest.failedHost = this->attempts[this->requests[aRequest].attempt].host;
   if (!this->TryPlace(aRequest, placementRequest, 0)) {
     this->world.Schedule(kPlacementRetryDelay, EventKind::Retry, aRequest);
@@ -248,7 +248,7 @@
     if (this->world.hosts[attempt.host].engine) {
       this->world.hosts[attempt.host].engine->Cancel(request.attempt);
     }
-    this->policy.OnEnd(aRequest, AttemptEnd::Moved, true);
+    this->policy.OnEnd(aRequest, AttemptResult::Moved, true);
   }
   this->CloseRequest(aRequest, false);
 }
--- a/Bench/Decisions/Tuning.cpp
+++ b/Bench/Decisions/Tuning.cpp
@@ -29,7 +29,7 @@
     double* value;
   };
   if (name == "full_scan" || name == "sample") {
-    (name == "sample" ? this->routing.sample : this->routing.fullScan) =
+    (name == "sample" ? this->routing.sampleSize : this->routing.fullScanLimit) =
       static_cast<std::size_t>(value);
     return true;
   }
@@ -38,17 +38,17 @@
     { "sequences", &this->routing.speed.sequences },
     { "spread", &this->routing.spread },
     { "miss_engine_seconds", &this->routing.missEngineSeconds },
-    { "lateness", &this->routing.lateness },
+    { "lateness", &this->routing.overdueWeight },
     { "miss_rank_factor", &this->routing.missRankFactor },
     { "packing", &this->routing.packing },
     { "packing_power", &this->routing.packingPower },
-    { "home_pull", &this->routing.homePull },
-    { "reserved_share", &this->routing.reservedShare },
+    { "home_pull", &this->routing.homeAffinity },
+    { "reserved_share", &this->routing.reservedFraction },
     { "peer_prior", &this->routing.peerPrior },
     { "reclaims_per_hour", &this->routing.reclaimsPerHour },
-    { "going_domain_per_hour", &this->routing.goingDomainPerHour },
-    { "recomputed_token_worth", &this->routing.recomputedTokenWorth },
-    { "hot_uses", &this->routing.hotUses },
+    { "going_domain_per_hour", &this->routing.leavingDomainReclaimsPerHour },
+    { "recomputed_token_worth", &this->routing.recomputedTokenWeight },
+    { "hot_uses", &this->routing.hotPrefixUses },
     { "dispatched_confidence", &this->routing.prefix.dispatchedConfidence },
     { "gap_confidence", &this->routing.prefix.gapConfidence },
     { "shed_from", &this->admission.shedFrom },
@@ -58,7 +58,7 @@
     { "miss_full", &this->admission.missFull },
     { "shed_fairness", &this->admission.shedFairness },
     { "transfer_tokens_per_second", &this->moves.transferTokensPerSecond },
-    { "move_safety", &this->moves.safety },
+    { "move_safety", &this->moves.durationMargin },
   };
   for (const Entry& entry : entries) {
     if (entry.name == name) {
--- a/Bench/Decisions/World.cpp
+++ b/Bench/Decisions/World.cpp
@@ -89,7 +89,7 @@
 World::StartEngineStep(std::uint32_t aHost)
 {
   HostState& host = this->hosts[aHost];
-  if (host.gone || !host.engine) {
+  if (host.terminated || !host.engine) {
     return;
   }
   const double seconds = host.engine->BeginStep();
@@ -105,7 +105,7 @@
   LoadSample sample;
   sample.at = this->Now();
   for (const HostState& host : this->hosts) {
-    const bool readable = host.engine && !host.gone;
+    const bool readable = host.engine && !host.terminated;
     sample.loads.emplace_back(readable ? host.engine->Waiting() : 0,
                               readable ? host.engine->Running() : 0);
   }
@@ -136,7 +136,7 @@
   const ManifestModel& model = this->deployment.manifest.models.front();
   for (std::uint32_t index = 0; index < this->hosts.size(); ++index) {
     const HostState& host = this->hosts[index];
-    if (host.forgotten) {
+    if (host.delisted) {
       continue;
     }
     Endpoint endpoint;
@@ -172,7 +172,7 @@
 {
   for (std::uint32_t index = 0; index < this->hosts.size(); ++index) {
     HostState& host = this->hosts[index];
-    if (!host.engine || host.gone) {
+    if (!host.engine || host.terminated) {
       continue;
     }
     CacheUpdate update{ index, host.engine->TakeStored(), host.engine->TakeEvicted(), false };
@@ -193,10 +193,10 @@
 {
   for (std::uint32_t index = 0; index < this->hosts.size(); ++index) {
     HostState& host = this->hosts[index];
-    if (host.failureDomain == aReclaim.failureDomain && host.engine && !host.noticed) {
-      host.noticed = true;
+    if (host.failureDomain == aReclaim.failureDomain && host.engine && !host.reclaimNoticed) {
+      host.reclaimNoticed = true;
       host.terminatesAt = this->Now() + aReclaim.grace;
-      this->Schedule(aReclaim.grace, EventKind::Gone, index);
+      this->Schedule(aReclaim.grace, EventKind::HostTerminated, index);
       this->Schedule(aReclaim.grace + kHostListLag, EventKind::HostDelisted, index);
     }
   }
@@ -232,7 +232,7 @@
   for (const HostState& host : this->hosts) {
     if (host.engine && host.failureDomain == aReclaim.failureDomain) {
       lost.push_back(host.engine->Spec());
-    } else if (host.engine && !host.noticed) {
+    } else if (host.engine && !host.reclaimNoticed) {
       others.push_back(host.engine->Spec());
     }
   }
--- a/Bench/Decisions/World.h
+++ b/Bench/Decisions/World.h
@@ -19,18 +19,18 @@
   Sample,
   CacheUpdate,
   Heartbeat,
-  Notice,
+  ReclaimNotice,
   NoticeVisible,
   Replan,
-  Gone,
+  HostTerminated,
   HostDelisted,
   Replacement,
-  Price,
+  PriceChange,
   ServiceDone,
   Retry,
   MoveStart,
   MoveEnd,
-  Silence,
+  ConnectionStall,
   StallTimeout,
   Deadline,
 };
@@ -59,11 +59,11 @@
   std::string service; ///< Name of the plain service; empty for an engine.
   double pricePerHour = 0;
   std::unique_ptr<EngineFake> engine;
-  bool noticed = false;    ///< The cloud provider has announced its reclaim.
-  bool leaving = false;    ///< The reclaim notice has reached the daemons.
-  bool gone = false;       ///< Terminated.
-  bool forgotten = false;  ///< Removed from the host list.
-  double terminatesAt = 0; ///< Time of termination, in seconds from the start.
+  bool reclaimNoticed = false; ///< The cloud provider has announced its reclaim.
+  bool leaving = false;        ///< The reclaim notice has reached the daemons.
+  bool terminated = false;     ///< Terminated.
+  bool delisted = false;       ///< Removed from the host list.
+  double terminatesAt = 0;     ///< Time of termination, in seconds from the start.
 };
 
 /// A sample of the load of all hosts.
--- a/Bench/Path/LoadClient.cpp
+++ b/Bench/Path/LoadClient.cpp
@@ -48,7 +48,7 @@
   void OnEnd(const TransferEnd& aEnd) override
   {
     const bool isComplete = aEnd.outcome == TransferOutcome::Complete && aEnd.status == kStatusOk &&
-                            this->tail.ends_with(this->client.load.tail);
+                            this->tail.ends_with(this->client.load.expectedTail);
     this->client.OnEnded(
       *this, isComplete,
       fmt::format("status {}: {}, ended with \"{}\"", aEnd.status, aEnd.message, this->tail));
@@ -108,7 +108,7 @@
 {
   std::unique_lock lock(this->mutex);
   this->reportChanged.wait(
-    lock, [this] { return this->report.whole + this->report.failed == this->load.total; });
+    lock, [this] { return this->report.completed + this->report.failed == this->load.total; });
   return std::move(this->report);
 }
 
@@ -141,7 +141,7 @@
   TrafficLoop& loop = aRequest.Loop();
   this->StartNext(loop);
   const std::scoped_lock lock(this->mutex);
-  this->report.whole += aCompleted ? 1 : 0;
+  this->report.completed += aCompleted ? 1 : 0;
   this->report.failed += aCompleted ? 0 : 1;
   if (!aCompleted && this->report.firstFailure.empty()) {
     this->report.firstFailure = aFailure;
--- a/Bench/Path/LoadClient.h
+++ b/Bench/Path/LoadClient.h
@@ -15,15 +15,15 @@
 struct Load
 {
   HttpTransferRequest request;
-  std::string tail;    ///< Last bytes of a complete response; empty to accept any.
-  int concurrency = 1; ///< Maximum number of concurrent requests.
-  int total = 1;       ///< Total number of requests.
+  std::string expectedTail; ///< Last bytes of a complete response; empty to accept any.
+  int concurrency = 1;      ///< Maximum number of concurrent requests.
+  int total = 1;            ///< Total number of requests.
 };
 
 /// Results of a load.
 struct LoadReport
 {
-  int whole = 0; ///< Completed with status 200 and the expected last bytes.
+  int completed = 0; ///< Completed with status 200 and the expected last bytes.
   int failed = 0;
   /// Milliseconds from the start of a request to its first body byte.
   std::vector<double> firstByte;
--- a/Bench/PathBench.cpp
+++ b/Bench/PathBench.cpp
@@ -125,7 +125,7 @@
       fmt::format(R"({{"model":"{}","prompt":"assess outfall nine","max_tokens":{},"stream":{}}})",
                   PathDaemon::kModel, aTokens, aStream);
     load.request.timeout = kTimeout;
-    load.tail = aStream ? "data: [DONE]\n\n" : "";
+    load.expectedTail = aStream ? "data: [DONE]\n\n" : "";
     return load;
   }
 
@@ -226,7 +226,7 @@
     const double cpuBefore = this->daemon->ProcessorSeconds();
     this->client.Begin(aLoad);
     const LoadReport report = this->Finish(this->client);
-    return report.whole / (this->daemon->ProcessorSeconds() - cpuBefore);
+    return report.completed / (this->daemon->ProcessorSeconds() - cpuBefore);
   }
 
   void MeasureShortRequests()
--- a/Bench/ReclaimSimulation.h
+++ b/Bench/ReclaimSimulation.h
@@ -202,7 +202,7 @@
   const Engine& engine = this->engines[aStream.engine];
   view.id = aStream.id;
   view.endpoint = engine.id;
-  view.goneAfter = engine.availableUntil;
+  view.availableUntil = engine.availableUntil;
   view.promptTokens = static_cast<int>(aStream.prompt);
   view.generatedTokens = static_cast<int>(aStream.generated);
   view.expectedRemaining = (aStream.total - aStream.generated) * aStream.remainingErrorFactor;
@@ -234,7 +234,7 @@
     target.endpoint = this->engines[index].id;
     target.failureDomain = std::to_string(this->engines[index].domain);
     target.leaving = this->IsLeaving(static_cast<int>(index));
-    target.domainGoing = target.leaving;
+    target.domainLeaving = target.leaving;
     const auto running =
       std::count_if(this->streams.begin(), this->streams.end(), [&](auto& aStream) {
         return !aStream.done && aStream.engine == static_cast<int>(index);
--- a/Fuzz/Decoders/LoadFuzzer.cpp
+++ b/Fuzz/Decoders/LoadFuzzer.cpp
@@ -1,6 +1,6 @@
-#include "Lagoonward/Admission/PermitBook.h"
+#include "Lagoonward/Admission/PermitLedger.h"
 #include "Lagoonward/Core/VirtualClock.h"
-#include "Lagoonward/Daemon/LoadBook.h"
+#include "Lagoonward/Daemon/LoadTable.h"
 
 #include <cstdint>
 #include <cstdlib>
@@ -14,10 +14,10 @@
 
 /// No sum may contain impossible values, such as negative counts or totals, whatever the reports contain.
 void
-CheckSums(LoadBook& aTable)
+CheckSums(LoadTable& aTable)
 {
   const LoadSum sum = aTable.SumFor(1);
-  if (sum.demand.daemons < 0 || aTable.Heard() < 0) {
+  if (sum.demand.daemons < 0 || aTable.ReportedDaemons() < 0) {
     std::abort();
   }
   for (const ClientDemand& demand : sum.demand.demand) {
@@ -26,7 +26,7 @@
     }
   }
   // The group sum must encode to a report that decodes
-  const std::string bytes = EncodeMessage(aTable.GroupSum(true));
+  const std::string bytes = EncodeMessage(aTable.MakeGroupReport(true));
   if (!DecodeMessage<GroupReport>(bytes).has_value()) {
     std::abort();
   }
@@ -38,22 +38,22 @@
 void
 CheckShared(std::string_view aBytes, const Clock& aClock)
 {
-  PoisonGuard filter({}, aClock);
+  PoisonRequestFilter filter({}, aClock);
   if (const auto report = DecodeMessage<CrashReport>(aBytes)) {
-    filter.OnToldCrash(report.value());
+    filter.OnRemoteCrash(report.value());
   }
   if (const auto sum = DecodeMessage<LoadSum>(aBytes)) {
-    filter.OnNotes(sum.value().poison);
+    filter.OnVerdicts(sum.value().poison);
   }
-  for (const PoisonNote& note : filter.Notes()) {
-    if (Milliseconds(note.expiresIn) > PoisonSettings{}.poisonMemory) {
+  for (const PoisonVerdict& verdict : filter.Verdicts()) {
+    if (Milliseconds(verdict.expiresIn) > PoisonFilterSettings{}.poisonRetention) {
       std::abort();
     }
   }
-  PermitBook ledger({}, aClock);
+  PermitLedger ledger({}, aClock);
   if (const auto request = DecodeMessage<PermitRequest>(aBytes)) {
     const PermitReply reply = ledger.Serve(request.value(), ReserveRole::Primary, true);
-    if (Milliseconds(reply.wait) > PermitSettings{}.longestWait) {
+    if (Milliseconds(reply.retryAfterMs) > PermitSettings{}.maximumWait) {
       std::abort();
     }
   }
@@ -66,13 +66,13 @@
 {
   const std::string_view bytes(reinterpret_cast<const char*>(aData), aSize);
   const VirtualClock clock;
-  LoadBook table({}, 1, clock);
+  LoadTable table({}, 1, clock);
   table.SetGroup(kGroup);
   if (const auto report = DecodeMessage<MemberReport>(bytes)) {
-    table.OnMember(report.value());
+    table.OnMemberReport(report.value());
   }
   if (const auto report = DecodeMessage<GroupReport>(bytes)) {
-    static_cast<void>(table.OnGroup(report.value()));
+    static_cast<void>(table.OnGroupReport(report.value()));
   }
   static_cast<void>(DecodeMessage<LoadSum>(bytes));
   CheckSums(table);
--- a/Fuzz/Decoders/ManifestFuzzer.cpp
+++ b/Fuzz/Decoders/ManifestFuzzer.cpp
@@ -11,7 +11,7 @@
 LLVMFuzzerTestOneInput(const std::uint8_t* aData, std::size_t aSize)
 {
   const std::string_view bytes(reinterpret_cast<const char*>(aData), aSize);
-  const ManifestReading reading = ReadManifest(bytes);
+  const ManifestReadResult reading = ReadManifest(bytes);
   if (reading.manifest.has_value() != reading.faults.empty()) {
     std::abort();
   }
@@ -19,7 +19,7 @@
     return 0;
   }
   const std::string written = WriteManifest(*reading.manifest).dump();
-  const ManifestReading again = ReadManifest(written);
+  const ManifestReadResult again = ReadManifest(written);
   if (!again.manifest || WriteManifest(*again.manifest).dump() != written) {
     std::abort();
   }
--- a/Fuzz/Stateful/ClaimHarness.cpp
+++ b/Fuzz/Stateful/ClaimHarness.cpp
@@ -102,7 +102,7 @@
       this->log.FailAppends({});
       break;
     case 3:
-      this->log.DeliverLate();
+      this->log.StoreLateAppends();
       break;
     case 4:
       this->clock.Advance(Milliseconds(25 * aOperation.argument));
@@ -136,7 +136,7 @@
   // Once the log is available again, every claim must be answered; submissions that won may still be dispatched
   this->log.SetDown(false);
   this->log.SetUnreadable(false);
-  this->log.DeliverLate();
+  this->log.StoreLateAppends();
   constexpr int kRounds = 40;
   for (int round = 0; round < kRounds; ++round) {
     this->clock.Advance(this->settings.flushInterval);
--- a/Fuzz/Stateful/LeaseHarness.cpp
+++ b/Fuzz/Stateful/LeaseHarness.cpp
@@ -25,8 +25,8 @@
 {
   Daemon& daemon = this->daemons[aActor];
   daemon.run = "run-" + std::to_string(this->runs++);
-  daemon.manager = std::make_unique<LeaseKeeper>(this->settings, this->clock,
-                                                 "d-" + std::to_string(aActor), daemon.run);
+  daemon.manager = std::make_unique<LeaseManager>(this->settings, this->clock,
+                                                  "d-" + std::to_string(aActor), daemon.run);
   daemon.manager->SetRank(aActor);
 }
 
@@ -188,7 +188,7 @@
       this->log.FailAppends({});
       break;
     case 3:
-      this->log.DeliverLate();
+      this->log.StoreLateAppends();
       break;
     case 4:
       this->AdvanceTime(Milliseconds(4 * aOperation.argument * aOperation.argument), false);
--- a/Fuzz/Stateful/LeaseHarness.h
+++ b/Fuzz/Stateful/LeaseHarness.h
@@ -2,7 +2,7 @@
 
 #include "Fuzz/Stateful/Harness.h"
 #include "Lagoonward/Core/VirtualClock.h"
-#include "Lagoonward/Leadership/LeaseKeeper.h"
+#include "Lagoonward/Leadership/LeaseManager.h"
 #include "UnitTests/Support/FakeLogService.h"
 
 #include <array>
@@ -11,7 +11,7 @@
 
 namespace lagoonward::fuzz {
 
-/// Tests LeaseKeeper of three daemons over one log. The oracle checks that at most one daemon holds the lease at any
+/// Tests LeaseManager of three daemons over one log. The oracle checks that at most one daemon holds the lease at any
 /// moment; that an engine that checks fencing numbers never executes an order of an older tenure after one of a newer
 /// tenure; that the same is true for an engine that does not check them, as long as orders arrive within the handover
 /// time; and that no two daemons have the same fencing number.
@@ -57,7 +57,7 @@
   /// One daemon.
   struct Daemon
   {
-    std::unique_ptr<LeaseKeeper> manager;
+    std::unique_ptr<LeaseManager> manager;
     std::string run; ///< Unique name of this run of the daemon.
     std::optional<Order> order;
   };
@@ -78,7 +78,7 @@
   VirtualClock clock;
   LeaseSettings settings;
   testing::FakeLogService log;
-  std::string stream = LeaseStream("utslipp", "vestland");
+  std::string stream = LeaseStreamName("utslipp", "vestland");
   bool down = false;
   int runs = 0;
   std::array<Daemon, kActors> daemons;
--- a/Fuzz/Stateful/ReclaimHarness.cpp
+++ b/Fuzz/Stateful/ReclaimHarness.cpp
@@ -66,7 +66,7 @@
   StreamView stream;
   stream.id = "s-" + std::to_string(this->nextName++);
   stream.endpoint = host.target.endpoint;
-  stream.goneAfter = TimePoint::max();
+  stream.availableUntil = TimePoint::max();
   stream.promptTokens = 100 + 500 * aOperation.argument;
   stream.expectedRemaining = 20 + 60.0 * aOperation.argument;
   stream.deadline = this->clock.Now() + std::chrono::minutes(5);
@@ -79,7 +79,7 @@
 ReclaimHarness::GiveNotice(Host& aHost, Milliseconds aGrace)
 {
   aHost.target.leaving = true;
-  aHost.goneAfter = std::min(aHost.goneAfter, this->clock.Now() + aGrace);
+  aHost.availableUntil = std::min(aHost.availableUntil, this->clock.Now() + aGrace);
 }
 
 void
@@ -88,7 +88,7 @@
   this->clock.Advance(aSpan);
   for (StreamView& stream : this->streams) {
     const Host* host = this->Find(stream.endpoint);
-    if (host != nullptr && host->goneAfter > this->clock.Now()) {
+    if (host != nullptr && host->availableUntil > this->clock.Now()) {
       const double seconds = std::chrono::duration<double>(aSpan).count();
       const double generated = std::min(stream.expectedRemaining, seconds * stream.tokensPerSecond);
       stream.generatedTokens += static_cast<int>(generated);
@@ -106,7 +106,7 @@
   for (const Host& host : this->hosts) {
     MoveTarget target = host.target;
     target.freeSlots = kSlots - this->RunningStreams(target.endpoint);
-    target.domainGoing =
+    target.domainLeaving =
       std::all_of(this->hosts.begin(), this->hosts.end(), [&](const Host& aOther) {
         return aOther.domain != host.domain || aOther.target.leaving;
       });
@@ -125,7 +125,7 @@
       continue;
     }
     StreamView view = stream;
-    view.goneAfter = host == nullptr ? this->clock.Now() : host->goneAfter;
+    view.availableUntil = host == nullptr ? this->clock.Now() : host->availableUntil;
     for (const Host& other : this->hosts) {
       view.candidates.push_back({ other.target.endpoint, 0 });
     }
@@ -142,17 +142,17 @@
   RC_ASSERT(moves == !aPlan.target.empty());
   if (!moves) {
     // A terminated host cannot finish its streams
-    RC_ASSERT(aPlan.kind != MoveKind::FinishInPlace || aStream.goneAfter > this->clock.Now());
+    RC_ASSERT(aPlan.kind != MoveKind::FinishInPlace || aStream.availableUntil > this->clock.Now());
     return;
   }
   const Host* target = this->Find(aPlan.target);
   RC_ASSERT(target != nullptr && !target->target.leaving);
   RC_ASSERT(aPlan.target != aStream.endpoint);
   if (aPlan.kind == MoveKind::ExportImport) {
-    RC_ASSERT(aPlan.readyAt <= aStream.goneAfter);
+    RC_ASSERT(aPlan.readyAt <= aStream.availableUntil);
     RC_ASSERT(aStream.exportBytesPerSecond > 0);
-  } else if (aStream.goneAfter > this->clock.Now()) {
-    RC_ASSERT(aPlan.startAt <= std::max(this->clock.Now(), aStream.goneAfter));
+  } else if (aStream.availableUntil > this->clock.Now()) {
+    RC_ASSERT(aPlan.startAt <= std::max(this->clock.Now(), aStream.availableUntil));
   }
 }
 
@@ -174,7 +174,7 @@
   }
   for (const MoveTarget& target : targets) {
     RC_ASSERT(planned[target.endpoint] <= std::max(0, target.freeSlots));
-    const bool usable = !target.leaving && !target.domainGoing;
+    const bool usable = !target.leaving && !target.domainLeaving;
     full = full && (!usable || planned[target.endpoint] >= target.freeSlots);
   }
   const auto unplaced = std::any_of(plans.begin(), plans.end(), [](const MovePlan& aPlan) {
--- a/Fuzz/Stateful/ReclaimHarness.h
+++ b/Fuzz/Stateful/ReclaimHarness.h
@@ -31,7 +31,7 @@
   {
     MoveTarget target;
     int domain = 0;
-    TimePoint goneAfter = TimePoint::max();
+    TimePoint availableUntil = TimePoint::max();
   };
 
   void AddHost(int aDomain);
--- a/Lagoonward/Admission/Admission.cpp
+++ b/Lagoonward/Admission/Admission.cpp
@@ -124,7 +124,7 @@
 }
 
 void
-Admission::SetDaemons(int aCount)
+Admission::SetDaemonCount(int aCount)
 {
   const std::lock_guard lock(this->mutex);
   const bool isFirst = this->daemonCount == 0;
@@ -137,26 +137,26 @@
 }
 
 void
-Admission::SetReserves(std::function<ReserveRole(std::uint64_t aClient)> aRoleOf)
+Admission::SetReserveRoles(std::function<ReserveRole(std::uint64_t aClient)> aRoleOf)
 {
   const std::lock_guard lock(this->mutex);
   this->reserveRoleOf = std::move(aRoleOf);
   for (Client& client : this->clients) {
     if (client.pool) {
-      client.pool->SetRole(this->reserveRoleOf(client.key), this->clock.Now());
+      client.pool->SetReserveRole(this->reserveRoleOf(client.key), this->clock.Now());
     }
   }
 }
 
-std::optional<LoanRequest>
-Admission::WantedLoan(const AdmissionRequest& aRequest)
+std::optional<LimitTokenRequest>
+Admission::MakeTokenRequest(const AdmissionRequest& aRequest)
 {
   const std::lock_guard lock(this->mutex);
   Client* client = this->FindClient(HashBytes(aRequest.client));
   if (client == nullptr || !client->pool || client->limits.tokensPerSecond <= 0) {
     return std::nullopt;
   }
-  auto wanted = client->pool->WantedLoan(aRequest.tokens, this->clock.Now());
+  auto wanted = client->pool->MakeTokenRequest(aRequest.tokens, this->clock.Now());
   if (wanted) {
     wanted->client = client->key;
     wanted->account = client->limits.name;
@@ -164,27 +164,28 @@
   return wanted;
 }
 
-Loan
-Admission::Lend(const LoanRequest& aRequest)
+LimitTokenGrant
+Admission::GrantTokens(const LimitTokenRequest& aRequest)
 {
   const std::lock_guard lock(this->mutex);
   Client* client = this->FindClient(aRequest.client);
-  return client != nullptr && client->pool ? client->pool->Lend(aRequest, this->clock.Now())
-                                           : Loan{};
+  return client != nullptr && client->pool ? client->pool->GrantTokens(aRequest, this->clock.Now())
+                                           : LimitTokenGrant{};
 }
 
 void
-Admission::OnLoan(const LoanRequest& aRequest, const std::optional<Loan>& aLoan)
+Admission::OnTokenGrant(const LimitTokenRequest& aRequest,
+                        const std::optional<LimitTokenGrant>& aGrant)
 {
   const std::lock_guard lock(this->mutex);
   Client* client = this->FindClient(aRequest.client);
   if (client == nullptr || !client->pool) {
     return;
   }
-  if (aLoan) {
-    client->pool->OnLoan(*aLoan, aRequest.need, this->clock.Now());
+  if (aGrant) {
+    client->pool->OnTokenGrant(*aGrant, aRequest.neededTokens, this->clock.Now());
   } else {
-    client->pool->OnLoanUnanswered(this->clock.Now());
+    client->pool->OnTokenRequestTimeout(this->clock.Now());
   }
 }
 
@@ -223,7 +224,7 @@
   }
 
   if (aClient.pool) {
-    const double seconds = aClient.pool->Take(aRequest.tokens, this->clock.Now());
+    const double seconds = aClient.pool->TryConsume(aRequest.tokens, this->clock.Now());
     if (seconds > 0) {
       return this->MakeTokenLimitError(aClient, seconds);
     }
@@ -259,7 +260,7 @@
   aClient.pool->Configure({ aClient.limits.tokensPerSecond * factor,
                             aClient.limits.burstTokens * factor, this->settings.limitSlack },
                           now);
-  aClient.pool->SetRole(this->reserveRoleOf(aClient.key), now);
+  aClient.pool->SetReserveRole(this->reserveRoleOf(aClient.key), now);
   this->UpdatePoolDaemonCount(aClient);
 }
 
@@ -335,7 +336,7 @@
 }
 
 std::vector<ClientDemand>
-Admission::TakeDemand()
+Admission::CollectDemand()
 {
   const std::lock_guard lock(this->mutex);
   const TimePoint now = this->clock.Now();
@@ -365,14 +366,14 @@
 }
 
 void
-Admission::OnPeer(std::uint64_t aDaemon, std::span<const ClientDemand> aDemand)
+Admission::OnPeerDemand(std::uint64_t aDaemon, std::span<const ClientDemand> aDemand)
 {
   const std::lock_guard lock(this->mutex);
   this->ApplyPeerDemand(aDaemon, aDemand, 1, 0);
 }
 
 void
-Admission::OnOthers(const DemandOfOthers& aOthers)
+Admission::OnAggregatedDemand(const AggregatedDemand& aOthers)
 {
   const std::lock_guard lock(this->mutex);
   this->ApplyPeerDemand(kAggregatedPeers, aOthers.demand, aOthers.daemons, aOthers.series);
@@ -385,7 +386,8 @@
   std::sort(listed.begin(), listed.end());
   for (Client& client : this->clients) {
     if (client.pool && !std::binary_search(listed.begin(), listed.end(), client.key)) {
-      client.pool->OnPeer(kAggregatedPeers, 0, this->clock.Now(), aOthers.daemons, aOthers.series);
+      client.pool->OnPeerTotal(kAggregatedPeers, 0, this->clock.Now(), aOthers.daemons,
+                               aOthers.series);
     }
   }
 }
@@ -394,11 +396,11 @@
 Admission::ApplyPeerDemand(std::uint64_t aPeer, std::span<const ClientDemand> aDemand, int aDaemons,
                            std::uint64_t aSeries)
 {
-  this->demandView.OnPeer(aPeer, aDemand, aDaemons);
+  this->demandView.OnPeerDemand(aPeer, aDemand, aDaemons);
   for (const ClientDemand& demand : aDemand) {
     Client* client = this->FindClient(demand.client);
     if (client != nullptr && client->pool) {
-      client->pool->OnPeer(aPeer, demand.admittedTotal, this->clock.Now(), aDaemons, aSeries);
+      client->pool->OnPeerTotal(aPeer, demand.admittedTotal, this->clock.Now(), aDaemons, aSeries);
     }
   }
 }
--- a/Lagoonward/Admission/Admission.h
+++ b/Lagoonward/Admission/Admission.h
@@ -72,35 +72,36 @@
 
   /// Sets the number of daemons that may share the limits, including this one, as known from configuration rather than
   /// from received messages. Until the first call or the first message of a peer, pooled limits admit nothing.
-  void SetDaemons(int aCount);
+  void SetDaemonCount(int aCount);
 
   /// Sets the function that returns the reserve role of this daemon for each pooled limit. Its argument is the hash of
   /// the account's name. Until the first call this daemon acts as the primary reserve of every limit, as no other
   /// daemon is known to own one.
-  void SetReserves(std::function<ReserveRole(std::uint64_t aClient)> aRoleOf);
+  void SetReserveRoles(std::function<ReserveRole(std::uint64_t aClient)> aRoleOf);
 
   /// Returns the tokens to request from a reserve before Admit() is called, or nothing if none are needed.
-  [[nodiscard]] std::optional<LoanRequest> WantedLoan(const AdmissionRequest& aRequest);
+  [[nodiscard]] std::optional<LimitTokenRequest> MakeTokenRequest(const AdmissionRequest& aRequest);
 
   /// Handles another daemon's request for tokens of a reserve that this daemon owns.
-  [[nodiscard]] Loan Lend(const LoanRequest& aRequest);
+  [[nodiscard]] LimitTokenGrant GrantTokens(const LimitTokenRequest& aRequest);
 
   /// Handles the reply of a reserve, or the lack of a reply from any reserve.
-  void OnLoan(const LoanRequest& aRequest, const std::optional<Loan>& aLoan);
+  void OnTokenGrant(const LimitTokenRequest& aRequest,
+                    const std::optional<LimitTokenGrant>& aGrant);
 
   /// Errors, all with ran "no": Unauthorized for an account that the manifest does not name;
   /// ClientOverLimit with `retryAfter` until its limits allow it; Overloaded with `retryAfter`.
   [[nodiscard]] Result<Ticket> Admit(const AdmissionRequest& aRequest);
 
   /// Returns the demand to send with the next heartbeat. Must be called exactly once for each heartbeat.
-  [[nodiscard]] std::vector<ClientDemand> TakeDemand();
+  [[nodiscard]] std::vector<ClientDemand> CollectDemand();
 
   /// Applies the demand received with a peer's heartbeat.
-  void OnPeer(std::uint64_t aDaemon, std::span<const ClientDemand> aDemand);
+  void OnPeerDemand(std::uint64_t aDaemon, std::span<const ClientDemand> aDemand);
 
   /// Applies the aggregated demand and admitted totals of all other daemons, received in place of one message from
   /// each.
-  void OnOthers(const DemandOfOthers& aOthers);
+  void OnAggregatedDemand(const AggregatedDemand& aOthers);
 
 private:
   friend class Ticket;
@@ -118,9 +119,9 @@
     int runningAtPeers = 0;
     double availableTokens = 0; ///< In the bucket.
     TimePoint refilledAt;
-    double requestedTokens = 0;       ///< Since the last heartbeat.
-    double averageDemand = 0;         ///< Tokens per second.
-    std::optional<PooledBucket> pool; ///< Replaces the bucket above if limits are pooled.
+    double requestedTokens = 0;            ///< Since the last heartbeat.
+    double averageDemand = 0;              ///< Tokens per second.
+    std::optional<SharedTokenBucket> pool; ///< Replaces the bucket above if limits are pooled.
   };
 
   void ApplyPeerDemand(std::uint64_t aPeer, std::span<const ClientDemand> aDemand, int aDaemons,
@@ -154,11 +155,11 @@
   std::function<ReserveRole(std::uint64_t)> reserveRoleOf = [](std::uint64_t) {
     return ReserveRole::Primary;
   };
-  int daemonCount = 0; ///< Zero until the first SetDaemons().
+  int daemonCount = 0; ///< Zero until the first SetDaemonCount().
   double pressure = 0;
   std::array<double, kRanks> missRatios{}; ///< Averaged ratio of missed targets, by rank.
   double meanRequestSeconds = 1;           ///< Averaged duration of requests.
-  TimePoint demandTakenAt;                 ///< Time of the last TakeDemand().
+  TimePoint demandTakenAt;                 ///< Time of the last CollectDemand().
 };
 
 } // namespace lagoonward
--- a/Lagoonward/Admission/AdmissionSettings.h
+++ b/Lagoonward/Admission/AdmissionSettings.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "Lagoonward/Admission/PooledBucket.h"
+#include "Lagoonward/Admission/SharedTokenBucket.h"
 #include "Lagoonward/Core/Clock.h"
 
 namespace lagoonward {
@@ -18,9 +18,9 @@
   double limitTolerance = 0; ///< As a fraction of rate and burst.
   double limitSlack = 0;     ///< Additional tokens at once.
   /// All daemons together keep one bucket per client instead of splitting its rate. Needed for a client whose requests
-  /// are large relative to one daemon's share; requires a LimitLender that transfers tokens between daemons.
+  /// are large relative to one daemon's share; requires a LimitTokenSource that transfers tokens between daemons.
   bool pooled = false;
-  PooledBucketSettings pool;
+  SharedTokenBucketSettings pool;
   double shedFrom = 0.8;     ///< Pressure above which requests of the lowest rank are shed.
   double shedWidth = 0.15;   ///< Pressure range over which the shed fraction grows from 0 to 1.
   double shedRankStep = 0.2; ///< Increase of the shedding threshold for each higher rank.
--- a/Lagoonward/Admission/DemandSum.cpp
+++ b/Lagoonward/Admission/DemandAggregator.cpp
@@ -1,18 +1,18 @@
-#include "Lagoonward/Admission/DemandSum.h"
+#include "Lagoonward/Admission/DemandAggregator.h"
 
 #include <algorithm>
 
 namespace lagoonward {
 
-DemandSum::DemandSum(const DemandSumSettings& aSettings, const Clock& aClock)
+DemandAggregator::DemandAggregator(const DemandAggregatorSettings& aSettings, const Clock& aClock)
   : settings(aSettings)
   , clock(aClock)
 {
 }
 
 void
-DemandSum::OnTold(std::uint64_t aSource, std::uint64_t aSeries, int aDaemons,
-                  std::span<const ClientDemand> aDemand)
+DemandAggregator::OnReport(std::uint64_t aSource, std::uint64_t aSeries, int aDaemons,
+                           std::span<const ClientDemand> aDemand)
 {
   const auto [known, isNew] = this->sources.try_emplace(aSource);
   Source& source = known->second;
@@ -41,7 +41,7 @@
 }
 
 void
-DemandSum::ResetBaseline(Source& aSource, std::uint64_t aSeries)
+DemandAggregator::ResetBaseline(Source& aSource, std::uint64_t aSeries)
 {
   this->SubtractSource(aSource);
   aSource.records.clear();
@@ -50,7 +50,7 @@
 }
 
 void
-DemandSum::SubtractSource(const Source& aSource)
+DemandAggregator::SubtractSource(const Source& aSource)
 {
   for (const auto& [client, record] : aSource.records) {
     ClientDemand& total = this->totals[client];
@@ -59,27 +59,27 @@
   }
 }
 
-DemandOfOthers
-DemandSum::SumOfOthers(std::uint64_t aSource) const
+AggregatedDemand
+DemandAggregator::SumOfOthers(std::uint64_t aSource) const
 {
   const auto known = this->sources.find(aSource);
   return this->SumExcept(known == this->sources.end() ? nullptr : &known->second);
 }
 
-DemandOfOthers
-DemandSum::Sum() const
+AggregatedDemand
+DemandAggregator::Sum() const
 {
   return this->SumExcept(nullptr);
 }
 
-DemandOfOthers
-DemandSum::SumExcept(const Source* aSource) const
+AggregatedDemand
+DemandAggregator::SumExcept(const Source* aSource) const
 {
-  DemandOfOthers sum;
+  AggregatedDemand sum;
   sum.series = aSource == nullptr ? 0 : aSource->generation;
   const TimePoint now = this->clock.Now();
   for (const auto& [key, source] : this->sources) {
-    const bool isLive = now - source.receivedAt <= this->settings.silence;
+    const bool isLive = now - source.receivedAt <= this->settings.silenceTimeout;
     sum.daemons += isLive && &source != aSource ? source.daemons : 0;
   }
   for (const auto& [client, total] : this->totals) {
@@ -97,11 +97,11 @@
 }
 
 void
-DemandSum::Forget()
+DemandAggregator::RemoveStaleSources()
 {
   const TimePoint now = this->clock.Now();
   for (auto source = this->sources.begin(); source != this->sources.end();) {
-    if (now - source->second.receivedAt <= this->settings.memory) {
+    if (now - source->second.receivedAt <= this->settings.sourceRetention) {
       ++source;
       continue;
     }
--- a/Lagoonward/Admission/DemandSum.h
+++ b/Lagoonward/Admission/DemandAggregator.h
@@ -7,12 +7,12 @@
 namespace lagoonward {
 
 /// Settings of the aggregation of demand.
-struct DemandSumSettings
+struct DemandAggregatorSettings
 {
-  Milliseconds silence{
+  Milliseconds silenceTimeout{
     1600
   }; ///< The daemons of a source that sends nothing for this long are not counted. Same as for pooled limits.
-  Milliseconds memory{ 20'000 }; ///< A source that sends nothing for this long is removed.
+  Milliseconds sourceRetention{ 20'000 }; ///< A source that sends nothing for this long is removed.
   std::size_t maximumClients =
     4096; ///< Further clients are ignored; no deployment has as many accounts.
 };
@@ -23,25 +23,25 @@
 ///
 /// Admitted totals in a sum never decrease: the first total that a source reports is its baseline, and the increase
 /// since then stays in the sum after the source is removed. Not thread-safe.
-class DemandSum
+class DemandAggregator
 {
 public:
-  DemandSum(const DemandSumSettings& aSettings, const Clock& aClock);
+  DemandAggregator(const DemandAggregatorSettings& aSettings, const Clock& aClock);
 
   /// Applies a source's report of its demand and totals.
   /// @param aSeries   identifies the counter series of its totals; a different one starts a new baseline
   /// @param aDaemons  number of daemons that the source represents
-  void OnTold(std::uint64_t aSource, std::uint64_t aSeries, int aDaemons,
-              std::span<const ClientDemand> aDemand);
+  void OnReport(std::uint64_t aSource, std::uint64_t aSeries, int aDaemons,
+                std::span<const ClientDemand> aDemand);
 
   /// The sum over all sources but one. Its series changes when this source is added again or starts a new baseline.
-  [[nodiscard]] DemandOfOthers SumOfOthers(std::uint64_t aSource) const;
+  [[nodiscard]] AggregatedDemand SumOfOthers(std::uint64_t aSource) const;
 
   /// The sum over all sources.
-  [[nodiscard]] DemandOfOthers Sum() const;
+  [[nodiscard]] AggregatedDemand Sum() const;
 
-  /// Removes sources that have sent nothing for `memory`. Must be called several times a second.
-  void Forget();
+  /// Removes sources that have sent nothing for `sourceRetention`. Must be called several times a second.
+  void RemoveStaleSources();
 
 private:
   /// What one source reported about one client.
@@ -64,9 +64,9 @@
 
   void ResetBaseline(Source& aSource, std::uint64_t aSeries);
   void SubtractSource(const Source& aSource);
-  [[nodiscard]] DemandOfOthers SumExcept(const Source* aSource) const;
+  [[nodiscard]] AggregatedDemand SumExcept(const Source* aSource) const;
 
-  DemandSumSettings settings;
+  DemandAggregatorSettings settings;
   const Clock& clock;
   std::uint64_t lastGeneration = 0;
   std::unordered_map<std::uint64_t, Source> sources;
--- a/Lagoonward/Admission/DemandView.cpp
+++ b/Lagoonward/Admission/DemandView.cpp
@@ -56,7 +56,7 @@
 }
 
 void
-DemandView::OnPeer(std::uint64_t aDaemon, std::span<const ClientDemand> aDemand, int aDaemons)
+DemandView::OnPeerDemand(std::uint64_t aDaemon, std::span<const ClientDemand> aDemand, int aDaemons)
 {
   const auto [known, isNew] = this->peers.try_emplace(aDaemon);
   Peer& peer = known->second;
--- a/Lagoonward/Admission/DemandView.h
+++ b/Lagoonward/Admission/DemandView.h
@@ -19,7 +19,7 @@
 };
 
 /// The demand of all clients at the other daemons, summed by the daemon that they report to.
-struct DemandOfOthers
+struct AggregatedDemand
 {
   std::uint64_t series =
     0;             ///< Identifies the sum; admitted totals of different series are not comparable.
@@ -55,7 +55,7 @@
 
   /// Records the demand that a peer has sent. An empty list is recorded too, as it shows that the peer is alive.
   /// @param aDaemons  number of daemons that the peer represents
-  void OnPeer(std::uint64_t aDaemon, std::span<const ClientDemand> aDemand, int aDaemons = 1);
+  void OnPeerDemand(std::uint64_t aDaemon, std::span<const ClientDemand> aDemand, int aDaemons = 1);
 
   /// This daemon's share of one client's limits.
   [[nodiscard]] ClientShare ShareOf(std::uint64_t aClient) const;
--- a/Lagoonward/Admission/EndpointLimits.cpp
+++ b/Lagoonward/Admission/EndpointLimits.cpp
@@ -21,10 +21,10 @@
 }
 
 void
-EndpointLimits::OnNamed(std::string_view aEndpoint, double aPerSecond)
+EndpointLimits::OnLimitAdvertised(std::string_view aEndpoint, double aPerSecond)
 {
-  if (aPerSecond > this->settings.largest) {
-    this->OnNoneNamed(aEndpoint);
+  if (aPerSecond > this->settings.largestLimit) {
+    this->OnNoLimitAdvertised(aEndpoint);
     return;
   }
   const std::lock_guard lock(this->mutex);
@@ -38,7 +38,7 @@
 }
 
 void
-EndpointLimits::OnNoneNamed(std::string_view aEndpoint)
+EndpointLimits::OnNoLimitAdvertised(std::string_view aEndpoint)
 {
   {
     const std::lock_guard lock(this->mutex);
@@ -51,13 +51,13 @@
     PermitRequest update;
     update.endpoint = HashBytes(aEndpoint);
     update.isLimited = false;
-    update.wants = false;
+    update.wantsPermit = false;
     this->liftedListener(update);
   }
 }
 
 void
-EndpointLimits::OnMalformed(std::string_view aEndpoint)
+EndpointLimits::OnMalformedLimit(std::string_view aEndpoint)
 {
   const std::lock_guard lock(this->mutex);
   if (!std::exchange(this->isMalformedLogged, true)) {
@@ -66,13 +66,13 @@
 }
 
 void
-EndpointLimits::OnLifted(std::function<void(const PermitRequest& aUpdate)> aListener)
+EndpointLimits::SetLimitLiftedListener(std::function<void(const PermitRequest& aUpdate)> aListener)
 {
   this->liftedListener = std::move(aListener);
 }
 
 std::optional<PermitRequest>
-EndpointLimits::WantedPermit(std::string_view aEndpoint)
+EndpointLimits::MakePermitRequest(std::string_view aEndpoint)
 {
   const std::lock_guard lock(this->mutex);
   const auto found =
@@ -89,7 +89,7 @@
 }
 
 void
-EndpointLimits::OnNoPermit(std::string_view aEndpoint, const PermitReply& aReply)
+EndpointLimits::OnPermitDenied(std::string_view aEndpoint, const PermitReply& aReply)
 {
   const std::lock_guard lock(this->mutex);
   const auto found = this->limits.find(std::string(aEndpoint));
@@ -100,13 +100,13 @@
     this->limits.erase(found);
     return;
   }
-  const Milliseconds wait =
-    aReply.answer == PermitAnswer::Wait ? Milliseconds(aReply.wait) : this->settings.unanswered;
+  const Milliseconds wait = aReply.answer == PermitAnswer::Wait ? Milliseconds(aReply.retryAfterMs)
+                                                                : this->settings.noReplyBlockTime;
   found->second.blockedUntil = this->clock.Now() + wait;
 }
 
 std::vector<std::string>
-EndpointLimits::Blocked()
+EndpointLimits::BlockedEndpoints()
 {
   const std::lock_guard lock(this->mutex);
   std::vector<std::string> blocked;
@@ -120,7 +120,7 @@
 }
 
 std::vector<std::string>
-EndpointLimits::Limited()
+EndpointLimits::LimitedEndpoints()
 {
   const std::lock_guard lock(this->mutex);
   std::vector<std::string> limited;
--- a/Lagoonward/Admission/EndpointLimits.h
+++ b/Lagoonward/Admission/EndpointLimits.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "Lagoonward/Admission/PermitBook.h"
+#include "Lagoonward/Admission/PermitLedger.h"
 #include "Lagoonward/Core/Clock.h"
 
 #include <atomic>
@@ -18,10 +18,10 @@
 /// Settings of the rate limits that endpoints advertise.
 struct EndpointLimitSettings
 {
-  double largest = 1e6; ///< Requests per second; a larger limit is treated as none.
+  double largestLimit = 1e6; ///< Requests per second; a larger limit is treated as none.
 
   /// How long this daemon sends an endpoint nothing if no owner of its limit has replied.
-  Milliseconds unanswered{ 500 };
+  Milliseconds noReplyBlockTime{ 500 };
 
   std::size_t maximumEndpoints =
     4096; ///< Beyond, the endpoint whose limit was received longest ago is evicted.
@@ -36,29 +36,29 @@
 
   /// Handles an answer of an endpoint that advertises a limit.
   /// @param aPerSecond  requests; finite, not negative
-  void OnNamed(std::string_view aEndpoint, double aPerSecond);
+  void OnLimitAdvertised(std::string_view aEndpoint, double aPerSecond);
 
   /// Handles an answer of an endpoint without a limit: an earlier limit no longer applies.
-  void OnNoneNamed(std::string_view aEndpoint);
+  void OnNoLimitAdvertised(std::string_view aEndpoint);
 
   /// Handles an answer whose limit cannot be parsed: an earlier limit still applies.
-  void OnMalformed(std::string_view aEndpoint);
+  void OnMalformedLimit(std::string_view aEndpoint);
 
   /// Sets the listener that is called for each limit that no longer applies, in order to notify the owners. Must be
   /// called before any other method.
-  void OnLifted(std::function<void(const PermitRequest& aUpdate)> aListener);
+  void SetLimitLiftedListener(std::function<void(const PermitRequest& aUpdate)> aListener);
 
   /// Returns the permit request to make before a request is sent to an endpoint; nothing if it has advertised no limit.
-  [[nodiscard]] std::optional<PermitRequest> WantedPermit(std::string_view aEndpoint);
+  [[nodiscard]] std::optional<PermitRequest> MakePermitRequest(std::string_view aEndpoint);
 
   /// Handles an owner's reply that grants no permit.
-  void OnNoPermit(std::string_view aEndpoint, const PermitReply& aReply);
+  void OnPermitDenied(std::string_view aEndpoint, const PermitReply& aReply);
 
   /// Endpoints that this daemon must not send to for now.
-  [[nodiscard]] std::vector<std::string> Blocked();
+  [[nodiscard]] std::vector<std::string> BlockedEndpoints();
 
   /// Endpoints that have advertised a limit.
-  [[nodiscard]] std::vector<std::string> Limited();
+  [[nodiscard]] std::vector<std::string> LimitedEndpoints();
 
   /// Time until the first of these endpoints is unblocked; nothing if none of them is blocked.
   [[nodiscard]] std::optional<Milliseconds> UntilNextUnblocked(
--- a/Lagoonward/Admission/LimitLender.h
+++ b/Lagoonward/Admission/LimitTokenSource.h
@@ -1,21 +1,21 @@
 #pragma once
 
-#include "Lagoonward/Admission/PooledBucket.h"
+#include "Lagoonward/Admission/SharedTokenBucket.h"
 
 #include <functional>
 
 namespace lagoonward {
 
 /// Requests tokens of a client's limit from the daemons that own its reserves.
-class LimitLender
+class LimitTokenSource
 {
 public:
-  virtual ~LimitLender() = default;
+  virtual ~LimitTokenSource() = default;
 
   /// Requests tokens and passes the result to the market's admission.
   /// @param aSettled  called once, from any thread, when admission should be tried: a reserve has granted or refused,
   ///                  or none has replied in time
-  virtual void Borrow(const LoanRequest& aRequest, std::function<void()> aSettled) = 0;
+  virtual void RequestTokens(const LimitTokenRequest& aRequest, std::function<void()> aSettled) = 0;
 };
 
 } // namespace lagoonward
--- a/Lagoonward/Admission/PermitBook.cpp
+++ b/Lagoonward/Admission/PermitLedger.cpp
@@ -1,4 +1,4 @@
-#include "Lagoonward/Admission/PermitBook.h"
+#include "Lagoonward/Admission/PermitLedger.h"
 
 #include <algorithm>
 #include <chrono>
@@ -6,14 +6,14 @@
 
 namespace lagoonward {
 
-PermitBook::PermitBook(const PermitSettings& aSettings, const Clock& aClock)
+PermitLedger::PermitLedger(const PermitSettings& aSettings, const Clock& aClock)
   : settings(aSettings)
   , clock(aClock)
 {
 }
 
 PermitReply
-PermitBook::Serve(const PermitRequest& aRequest, ReserveRole aRole, bool aIsSettled)
+PermitLedger::Serve(const PermitRequest& aRequest, ReserveRole aRole, bool aIsStable)
 {
   const bool isPlausible =
     aRequest.age >= 0 && std::isfinite(aRequest.perSecond) && aRequest.perSecond >= 0;
@@ -22,19 +22,19 @@
   }
   const std::lock_guard lock(this->mutex);
   const TimePoint now = this->clock.Now();
-  Bucket* bucket = this->FindOrCreate(aRequest, aIsSettled, now);
+  Bucket* bucket = this->FindOrCreate(aRequest, aIsStable, now);
   if (bucket == nullptr) {
-    return { PermitAnswer::Wait, static_cast<std::uint32_t>(this->settings.longestWait.count()) };
+    return { PermitAnswer::Wait, static_cast<std::uint32_t>(this->settings.maximumWait.count()) };
   }
   this->UpdateLimit(*bucket, aRequest, now);
-  if (!aRequest.wants || !bucket->isLimited) {
+  if (!aRequest.wantsPermit || !bucket->isLimited) {
     return { PermitAnswer::Unlimited, 0 };
   }
   return this->TryGrant(*bucket, aRole, now);
 }
 
-PermitBook::Bucket*
-PermitBook::FindOrCreate(const PermitRequest& aRequest, bool aIsSettled, TimePoint aNow)
+PermitLedger::Bucket*
+PermitLedger::FindOrCreate(const PermitRequest& aRequest, bool aIsStable, TimePoint aNow)
 {
   const auto found = this->buckets.find(aRequest.endpoint);
   if (found != this->buckets.end()) {
@@ -42,7 +42,7 @@
   }
   if (this->buckets.size() >= this->settings.maximumEndpoints) {
     std::erase_if(this->buckets, [&](const auto& aEach) {
-      return aNow - aEach.second.refilledAt > this->settings.idle;
+      return aNow - aEach.second.refilledAt > this->settings.idleTimeout;
     });
   }
   if (this->buckets.size() >= this->settings.maximumEndpoints) {
@@ -51,27 +51,28 @@
   Bucket bucket;
   bucket.refilledAt = aNow;
   bucket.receivedAt = TimePoint::min();
-  if (aIsSettled) {
+  if (aIsStable) {
     bucket.permits = this->settings.burst;
-    bucket.primarySince = aNow - this->settings.takeover;
+    bucket.primarySince = aNow - this->settings.takeoverDelay;
   }
   return &this->buckets.emplace(aRequest.endpoint, bucket).first->second;
 }
 
 void
-PermitBook::UpdateLimit(Bucket& aBucket, const PermitRequest& aRequest, TimePoint aNow) const
+PermitLedger::UpdateLimit(Bucket& aBucket, const PermitRequest& aRequest, TimePoint aNow) const
 {
-  const TimePoint receivedAt = aNow - std::min(Milliseconds(aRequest.age), this->settings.idle);
+  const TimePoint receivedAt =
+    aNow - std::min(Milliseconds(aRequest.age), this->settings.idleTimeout);
   if (receivedAt < aBucket.receivedAt) {
     return;
   }
   aBucket.receivedAt = receivedAt;
   aBucket.isLimited = aRequest.isLimited;
-  aBucket.perSecond = std::max(aRequest.perSecond, this->settings.least);
+  aBucket.perSecond = std::max(aRequest.perSecond, this->settings.minimumPerSecond);
 }
 
 double
-PermitBook::RefillRate(Bucket& aBucket, ReserveRole aRole, TimePoint aNow) const
+PermitLedger::RefillRate(Bucket& aBucket, ReserveRole aRole, TimePoint aNow) const
 {
   if (aRole != ReserveRole::Primary) {
     aBucket.primarySince.reset();
@@ -80,12 +81,12 @@
   if (!aBucket.primarySince) {
     aBucket.primarySince = aNow;
   }
-  const bool isTakingOver = aNow - *aBucket.primarySince < this->settings.takeover;
+  const bool isTakingOver = aNow - *aBucket.primarySince < this->settings.takeoverDelay;
   return aBucket.perSecond * (isTakingOver ? this->settings.backupShare : 1);
 }
 
 PermitReply
-PermitBook::TryGrant(Bucket& aBucket, ReserveRole aRole, TimePoint aNow) const
+PermitLedger::TryGrant(Bucket& aBucket, ReserveRole aRole, TimePoint aNow) const
 {
   const double rate = this->RefillRate(aBucket, aRole, aNow);
   const double capacity =
@@ -101,7 +102,7 @@
   // The next permits are expected to go to the daemons refused before this one
   const double seconds = (1 - aBucket.permits + aBucket.refusals) / rate;
   ++aBucket.refusals;
-  const double longestSeconds = std::chrono::duration<double>(this->settings.longestWait).count();
+  const double longestSeconds = std::chrono::duration<double>(this->settings.maximumWait).count();
   const auto wait = static_cast<std::uint32_t>(std::ceil(std::min(seconds, longestSeconds) * 1000));
   return { PermitAnswer::Wait, std::max(wait, 1U) };
 }
--- a/Lagoonward/Admission/PoisonGuard.cpp
+++ b/Lagoonward/Admission/PoisonRequestFilter.cpp
@@ -1,4 +1,4 @@
-#include "Lagoonward/Admission/PoisonGuard.h"
+#include "Lagoonward/Admission/PoisonRequestFilter.h"
 
 #include "Lagoonward/Core/Log.h"
 
@@ -12,14 +12,14 @@
 const Log kLog("poison");
 
 std::string_view
-NameOf(PoisonStanding aStatus)
+NameOf(PoisonStatus aStatus)
 {
   switch (aStatus) {
-    case PoisonStanding::Suspect:
+    case PoisonStatus::Suspect:
       return "suspect";
-    case PoisonStanding::Poisoned:
+    case PoisonStatus::Poisoned:
       return "poisoned";
-    case PoisonStanding::Cleared:
+    case PoisonStatus::Cleared:
       return "cleared";
   }
   return "unknown";
@@ -27,36 +27,36 @@
 
 } // namespace
 
-PoisonGuard::PoisonGuard(const PoisonSettings& aSettings, const Clock& aClock)
+PoisonRequestFilter::PoisonRequestFilter(const PoisonFilterSettings& aSettings, const Clock& aClock)
   : settings(aSettings)
   , clock(aClock)
 {
 }
 
 void
-PoisonGuard::OnReport(Listener aListener)
+PoisonRequestFilter::SetReportListener(Listener aListener)
 {
   this->listener = std::move(aListener);
 }
 
 bool
-PoisonGuard::IsPoisoned(std::uint64_t aRequest)
+PoisonRequestFilter::IsPoisoned(std::uint64_t aRequest)
 {
   const std::lock_guard lock(this->mutex);
   const StatusEntry* known = this->FindStatus(aRequest, this->clock.Now());
-  return known != nullptr && known->status == PoisonStanding::Poisoned;
+  return known != nullptr && known->status == PoisonStatus::Poisoned;
 }
 
 bool
-PoisonGuard::IsSuspect(std::uint64_t aRequest)
+PoisonRequestFilter::IsSuspect(std::uint64_t aRequest)
 {
   const std::lock_guard lock(this->mutex);
   const StatusEntry* known = this->FindStatus(aRequest, this->clock.Now());
-  return known != nullptr && known->status != PoisonStanding::Cleared;
+  return known != nullptr && known->status != PoisonStatus::Cleared;
 }
 
 void
-PoisonGuard::OnCrash(const CrashReport& aReport)
+PoisonRequestFilter::OnCrash(const CrashReport& aReport)
 {
   bool isCounted = false;
   {
@@ -69,14 +69,14 @@
 }
 
 void
-PoisonGuard::OnToldCrash(const CrashReport& aReport)
+PoisonRequestFilter::OnRemoteCrash(const CrashReport& aReport)
 {
   const std::lock_guard lock(this->mutex);
   static_cast<void>(this->CountCrash(aReport));
 }
 
 bool
-PoisonGuard::CountCrash(const CrashReport& aReport)
+PoisonRequestFilter::CountCrash(const CrashReport& aReport)
 {
   const TimePoint now = this->clock.Now();
   const std::int64_t longest = this->settings.crashRetention.count();
@@ -92,21 +92,23 @@
   std::vector<Crash>& known = this->crashes[aReport.request];
   std::erase_if(known,
                 [&](const Crash& aEach) { return now - aEach.at > this->settings.crashRetention; });
-  const double weight = aReport.hadBegun ? this->settings.partialAnswerWeight : 1;
+  const double weight = aReport.hadPartialAnswer ? this->settings.partialAnswerWeight : 1;
   this->AddCrash(known, { aReport.endpoint, aReport.domain, at, weight }, sentAt);
   const double sum =
     std::accumulate(known.begin(), known.end(), 0.0,
                     [](double aSum, const Crash& aEach) { return aSum + aEach.weight; });
   if (sum >= this->settings.crashesToPoison) {
-    this->RaiseStatus(aReport.request, PoisonStanding::Poisoned, now + this->settings.poisonMemory);
+    this->RaiseStatus(aReport.request, PoisonStatus::Poisoned,
+                      now + this->settings.poisonRetention);
   } else if (static_cast<int>(known.size()) >= this->settings.crashesToSuspect) {
-    this->RaiseStatus(aReport.request, PoisonStanding::Suspect, now + this->settings.poisonMemory);
+    this->RaiseStatus(aReport.request, PoisonStatus::Suspect, now + this->settings.poisonRetention);
   }
   return true;
 }
 
 void
-PoisonGuard::AddCrash(std::vector<Crash>& aKnown, const Crash& aCrash, TimePoint aSentAt) const
+PoisonRequestFilter::AddCrash(std::vector<Crash>& aKnown, const Crash& aCrash,
+                              TimePoint aSentAt) const
 {
   for (Crash& each : aKnown) {
     const auto interval = std::max(each.at, aCrash.at) - std::min(each.at, aCrash.at);
@@ -128,10 +130,10 @@
 }
 
 bool
-PoisonGuard::CompletedRecently(std::uint64_t aRequest, TimePoint aNow)
+PoisonRequestFilter::CompletedRecently(std::uint64_t aRequest, TimePoint aNow)
 {
   const StatusEntry* known = this->FindStatus(aRequest, aNow);
-  if (known != nullptr && known->status == PoisonStanding::Cleared) {
+  if (known != nullptr && known->status == PoisonStatus::Cleared) {
     return true;
   }
   const auto completion = this->completions.find(aRequest);
@@ -140,7 +142,7 @@
 }
 
 void
-PoisonGuard::OnWhole(std::uint64_t aRequest)
+PoisonRequestFilter::OnRequestCompleted(std::uint64_t aRequest)
 {
   const std::lock_guard lock(this->mutex);
   const TimePoint now = this->clock.Now();
@@ -159,13 +161,13 @@
   // `crashesToSuspect`
   const bool hadCrashes = this->crashes.erase(aRequest) > 0;
   const StatusEntry* known = this->FindStatus(aRequest, now);
-  if (hadCrashes || (known != nullptr && known->status != PoisonStanding::Cleared)) {
-    this->RaiseStatus(aRequest, PoisonStanding::Cleared, now + this->settings.completionRetention);
+  if (hadCrashes || (known != nullptr && known->status != PoisonStatus::Cleared)) {
+    this->RaiseStatus(aRequest, PoisonStatus::Cleared, now + this->settings.completionRetention);
   }
 }
 
-const PoisonGuard::StatusEntry*
-PoisonGuard::FindStatus(std::uint64_t aRequest, TimePoint aNow)
+const PoisonRequestFilter::StatusEntry*
+PoisonRequestFilter::FindStatus(std::uint64_t aRequest, TimePoint aNow)
 {
   const auto found = this->statuses.find(aRequest);
   if (found == this->statuses.end()) {
@@ -179,7 +181,7 @@
 }
 
 void
-PoisonGuard::RaiseStatus(std::uint64_t aRequest, PoisonStanding aStatus, TimePoint aExpiresAt)
+PoisonRequestFilter::RaiseStatus(std::uint64_t aRequest, PoisonStatus aStatus, TimePoint aExpiresAt)
 {
   const TimePoint now = this->clock.Now();
   const StatusEntry* known = this->FindStatus(aRequest, now);
@@ -195,17 +197,17 @@
     this->statuses.erase(first);
   }
   this->statuses[aRequest] = { aStatus, aExpiresAt };
-  if (aStatus == PoisonStanding::Cleared) {
+  if (aStatus == PoisonStatus::Cleared) {
     this->crashes.erase(aRequest);
   }
-  kLog.Event(aStatus == PoisonStanding::Poisoned ? LogLevel::Warning : LogLevel::Info,
+  kLog.Event(aStatus == PoisonStatus::Poisoned ? LogLevel::Warning : LogLevel::Info,
              NameOf(aStatus),
              { { "print", aRequest },
                { "for_ms", std::chrono::floor<Milliseconds>(aExpiresAt - now).count() } });
 }
 
 void
-PoisonGuard::EvictCrashes(TimePoint aNow)
+PoisonRequestFilter::EvictCrashes(TimePoint aNow)
 {
   if (this->crashes.size() < this->settings.maximumRequests) {
     return;
@@ -224,13 +226,13 @@
   this->crashes.erase(least);
 }
 
-std::vector<PoisonNote>
-PoisonGuard::Notes()
+std::vector<PoisonVerdict>
+PoisonRequestFilter::Verdicts()
 {
   const std::lock_guard lock(this->mutex);
   const TimePoint now = this->clock.Now();
   std::erase_if(this->statuses, [&](const auto& aEach) { return aEach.second.expiresAt <= now; });
-  std::vector<PoisonNote> verdicts;
+  std::vector<PoisonVerdict> verdicts;
   for (const auto& [request, each] : this->statuses) {
     const auto remaining = std::chrono::floor<Milliseconds>(each.expiresAt - now);
     if (remaining > this->settings.minimumVerdictLifetime) {
@@ -238,11 +240,11 @@
     }
   }
   if (verdicts.size() > this->settings.maximumVerdicts) {
-    const auto rank = [](const PoisonNote& aVerdict) {
-      return std::pair(aVerdict.status == PoisonStanding::Poisoned, aVerdict.expiresIn);
+    const auto rank = [](const PoisonVerdict& aVerdict) {
+      return std::pair(aVerdict.status == PoisonStatus::Poisoned, aVerdict.expiresIn);
     };
     std::sort(verdicts.begin(), verdicts.end(),
-              [&](const PoisonNote& aLeft, const PoisonNote& aRight) {
+              [&](const PoisonVerdict& aLeft, const PoisonVerdict& aRight) {
                 return rank(aLeft) > rank(aRight);
               });
     verdicts.resize(this->settings.maximumVerdicts);
@@ -251,25 +253,25 @@
 }
 
 void
-PoisonGuard::OnNotes(std::span<const PoisonNote> aVerdicts)
+PoisonRequestFilter::OnVerdicts(std::span<const PoisonVerdict> aVerdicts)
 {
   const std::lock_guard lock(this->mutex);
   const TimePoint now = this->clock.Now();
-  for (const PoisonNote& verdict : aVerdicts) {
-    if (verdict.status > PoisonStanding::Cleared) {
+  for (const PoisonVerdict& verdict : aVerdicts) {
+    if (verdict.status > PoisonStatus::Cleared) {
       continue;
     }
-    const Milliseconds longest = verdict.status == PoisonStanding::Cleared
+    const Milliseconds longest = verdict.status == PoisonStatus::Cleared
                                    ? this->settings.completionRetention
-                                   : this->settings.poisonMemory;
+                                   : this->settings.poisonRetention;
     const auto remaining = std::min(Milliseconds(verdict.expiresIn), longest);
     // A successful completion observed by this daemon overrides the verdict
     const auto completion = this->completions.find(verdict.request);
-    const bool isDisproved = verdict.status != PoisonStanding::Cleared &&
+    const bool isDisproved = verdict.status != PoisonStatus::Cleared &&
                              completion != this->completions.end() &&
                              now - completion->second <= this->settings.completionRetention;
     if (isDisproved) {
-      this->RaiseStatus(verdict.request, PoisonStanding::Cleared,
+      this->RaiseStatus(verdict.request, PoisonStatus::Cleared,
                         completion->second + this->settings.completionRetention);
     } else {
       this->RaiseStatus(verdict.request, verdict.status, now + remaining);
@@ -278,13 +280,13 @@
 }
 
 int
-PoisonGuard::Poisoned()
+PoisonRequestFilter::PoisonedCount()
 {
   const std::lock_guard lock(this->mutex);
   const TimePoint now = this->clock.Now();
   return static_cast<int>(
     std::count_if(this->statuses.begin(), this->statuses.end(), [&](const auto& aEach) {
-      return aEach.second.status == PoisonStanding::Poisoned && aEach.second.expiresAt > now;
+      return aEach.second.status == PoisonStatus::Poisoned && aEach.second.expiresAt > now;
     }));
 }
 
--- a/Lagoonward/Admission/PoisonGuard.h
+++ b/Lagoonward/Admission/PoisonRequestFilter.h
@@ -14,7 +14,7 @@
 namespace lagoonward {
 
 /// Settings of the filter of requests that crash endpoints.
-struct PoisonSettings
+struct PoisonFilterSettings
 {
   /// Number of crashes from which all daemons are notified, so that a daemon on which the request completed
   /// successfully can report it.
@@ -27,7 +27,7 @@
   double partialAnswerWeight = 0.5;
 
   /// How long a request stays poisoned. It is sent again after that, so that a fixed service receives it.
-  Milliseconds poisonMemory{ 600'000 };
+  Milliseconds poisonRetention{ 600'000 };
 
   /// How long crashes are counted. Longer than the poisoned status, so that one further crash after its expiry restores
   /// it.
@@ -54,22 +54,23 @@
 /// Reports that an endpoint was lost while it ran a request.
 struct CrashReport
 {
-  std::uint64_t request = 0;  ///< Identifies the content of the request; not its id.
-  std::uint64_t endpoint = 0; ///< Identifies one run of an endpoint's process.
-  std::uint64_t domain = 0;   ///< Hash of its failure domain.
-  std::int64_t age = 0;       ///< Milliseconds since the loss.
-  std::int64_t sentAge = 0;   ///< Milliseconds since the request was sent there.
-  bool hadBegun = false;      ///< Part of its answer had been received.
+  std::uint64_t request = 0;     ///< Identifies the content of the request; not its id.
+  std::uint64_t endpoint = 0;    ///< Identifies one run of an endpoint's process.
+  std::uint64_t domain = 0;      ///< Hash of its failure domain.
+  std::int64_t age = 0;          ///< Milliseconds since the loss.
+  std::int64_t sentAge = 0;      ///< Milliseconds since the request was sent there.
+  bool hadPartialAnswer = false; ///< ReadCallback of its answer had been received.
 
   template<class Archive>
   void serialize(Archive& aArchive)
   {
-    aArchive(this->request, this->endpoint, this->domain, this->age, this->sentAge, this->hadBegun);
+    aArchive(this->request, this->endpoint, this->domain, this->age, this->sentAge,
+             this->hadPartialAnswer);
   }
 };
 
 /// Status of a request. A higher value replaces a lower one.
-enum class PoisonStanding : std::uint8_t
+enum class PoisonStatus : std::uint8_t
 {
   Suspect,  ///< More than one endpoint crashed while running it.
   Poisoned, ///< It is considered to crash endpoints.
@@ -77,10 +78,10 @@
 };
 
 /// The status of a request as exchanged between daemons.
-struct PoisonNote
+struct PoisonVerdict
 {
   std::uint64_t request = 0;
-  PoisonStanding status = PoisonStanding::Suspect;
+  PoisonStatus status = PoisonStatus::Suspect;
   std::uint32_t expiresIn = 0; ///< Milliseconds.
 
   template<class Archive>
@@ -98,16 +99,16 @@
 /// A crashing endpoint fails all requests that run on it, so one crash is not sufficient evidence. A request is not
 /// blamed if it completed successfully a short time ago, on this or another daemon, if its endpoints were lost together
 /// with their failure domain, or if it ran on only two endpoints that crashed.
-class PoisonGuard
+class PoisonRequestFilter
 {
 public:
   using Listener = std::function<void(const CrashReport& aReport)>;
 
-  PoisonGuard(const PoisonSettings& aSettings, const Clock& aClock);
+  PoisonRequestFilter(const PoisonFilterSettings& aSettings, const Clock& aClock);
 
   /// Sets the listener that is called for each crash that was observed by this daemon and counted, in order to report
   /// it to the owners of the request's key. Must be called before any other method.
-  void OnReport(Listener aListener);
+  void SetReportListener(Listener aListener);
 
   /// Whether the request must not be sent to any endpoint.
   [[nodiscard]] bool IsPoisoned(std::uint64_t aRequest);
@@ -119,19 +120,19 @@
   void OnCrash(const CrashReport& aReport);
 
   /// Handles a crash that another daemon observed; this daemon owns the request's key.
-  void OnToldCrash(const CrashReport& aReport);
+  void OnRemoteCrash(const CrashReport& aReport);
 
   /// Handles a request that an endpoint completed successfully.
-  void OnWhole(std::uint64_t aRequest);
+  void OnRequestCompleted(std::uint64_t aRequest);
 
   /// Returns the verdicts to send to other daemons.
-  [[nodiscard]] std::vector<PoisonNote> Notes();
+  [[nodiscard]] std::vector<PoisonVerdict> Verdicts();
 
   /// Applies the verdicts of another daemon.
-  void OnNotes(std::span<const PoisonNote> aVerdicts);
+  void OnVerdicts(std::span<const PoisonVerdict> aVerdicts);
 
   /// Number of requests that are poisoned now.
-  [[nodiscard]] int Poisoned();
+  [[nodiscard]] int PoisonedCount();
 
 private:
   /// One crash of an endpoint.
@@ -145,7 +146,7 @@
 
   struct StatusEntry
   {
-    PoisonStanding status = PoisonStanding::Suspect;
+    PoisonStatus status = PoisonStatus::Suspect;
     TimePoint expiresAt;
   };
 
@@ -155,10 +156,10 @@
   void AddCrash(std::vector<Crash>& aKnown, const Crash& aCrash, TimePoint aSentAt) const;
   [[nodiscard]] bool CompletedRecently(std::uint64_t aRequest, TimePoint aNow);
   [[nodiscard]] const StatusEntry* FindStatus(std::uint64_t aRequest, TimePoint aNow);
-  void RaiseStatus(std::uint64_t aRequest, PoisonStanding aStatus, TimePoint aExpiresAt);
+  void RaiseStatus(std::uint64_t aRequest, PoisonStatus aStatus, TimePoint aExpiresAt);
   void EvictCrashes(TimePoint aNow);
 
-  PoisonSettings settings;
+  PoisonFilterSettings settings;
   const Clock& clock;
   Listener listener;
   std::mutex mutex;                                              ///< Guards all below.
--- a/Lagoonward/Admission/RetryBudget.cpp
+++ b/Lagoonward/Admission/RetryBudget.cpp
@@ -28,7 +28,7 @@
 }
 
 bool
-RetryBudget::TryTake()
+RetryBudget::TryConsume()
 {
   const std::lock_guard lock(this->mutex);
   const TimePoint now = this->clock.Now();
--- a/Lagoonward/Admission/RetryBudget.h
+++ b/Lagoonward/Admission/RetryBudget.h
@@ -22,7 +22,7 @@
 
   /// Consumes one retry of the budget.
   /// @return false if none is available: answer RetryBudgetExhausted instead of retrying
-  [[nodiscard]] bool TryTake();
+  [[nodiscard]] bool TryConsume();
 
 private:
   [[nodiscard]] double Capacity() const;
--- a/Lagoonward/Admission/PooledBucket.cpp
+++ b/Lagoonward/Admission/SharedTokenBucket.cpp
@@ -1,4 +1,4 @@
-#include "Lagoonward/Admission/PooledBucket.h"
+#include "Lagoonward/Admission/SharedTokenBucket.h"
 
 #include <algorithm>
 
@@ -27,7 +27,7 @@
 
 } // namespace
 
-PooledBucket::PooledBucket(const PooledBucketSettings& aSettings, TimePoint aNow)
+SharedTokenBucket::SharedTokenBucket(const SharedTokenBucketSettings& aSettings, TimePoint aNow)
   : settings(aSettings)
   , startedAt(aNow)
   , advancedAt(aNow)
@@ -37,7 +37,7 @@
 }
 
 void
-PooledBucket::Configure(const PooledLimit& aLimit, TimePoint aNow)
+SharedTokenBucket::Configure(const PooledLimit& aLimit, TimePoint aNow)
 {
   // Configurations arrive several times a second, mostly with unrelated changes. They must not remove tokens that a
   // reserve has granted for a request that is about to be admitted
@@ -59,7 +59,7 @@
 }
 
 void
-PooledBucket::SetRole(ReserveRole aRole, TimePoint aNow)
+SharedTokenBucket::SetReserveRole(ReserveRole aRole, TimePoint aNow)
 {
   if (aRole == this->role) {
     return;
@@ -74,17 +74,17 @@
 }
 
 double
-PooledBucket::ReachableFraction(TimePoint aNow) const
+SharedTokenBucket::ReachableFraction(TimePoint aNow) const
 {
   int reachable = 1;
   for (const auto& [key, peer] : this->peers) {
-    reachable += aNow - peer.receivedAt <= this->settings.silence ? peer.daemons : 0;
+    reachable += aNow - peer.receivedAt <= this->settings.silenceTimeout ? peer.daemons : 0;
   }
   return std::min(static_cast<double>(reachable) / this->daemonCount.value_or(1), 1.0);
 }
 
 double
-PooledBucket::ReserveShare() const
+SharedTokenBucket::ReserveShare() const
 {
   switch (this->role) {
     case ReserveRole::Primary:
@@ -98,15 +98,15 @@
 }
 
 bool
-PooledBucket::IsPartitioned(TimePoint aNow) const
+SharedTokenBucket::IsPartitioned(TimePoint aNow) const
 {
   return this->role == ReserveRole::None && this->unansweredSince &&
-         aNow - *this->unansweredSince >= this->settings.silence &&
-         aNow - this->lastUnansweredAt <= this->settings.silence;
+         aNow - *this->unansweredSince >= this->settings.silenceTimeout &&
+         aNow - this->lastUnansweredAt <= this->settings.silenceTimeout;
 }
 
 double
-PooledBucket::LocalRate(TimePoint aNow) const
+SharedTokenBucket::LocalRate(TimePoint aNow) const
 {
   if (this->IsOnlyDaemon()) {
     return this->limit.rate;
@@ -116,7 +116,7 @@
 }
 
 double
-PooledBucket::LocalCapacity(TimePoint aNow) const
+SharedTokenBucket::LocalCapacity(TimePoint aNow) const
 {
   if (this->IsOnlyDaemon()) {
     return this->limit.capacity + this->limit.slack;
@@ -126,20 +126,20 @@
 }
 
 double
-PooledBucket::ReserveCapacity() const
+SharedTokenBucket::ReserveCapacity() const
 {
   return this->IsOnlyDaemon() ? 0 : this->limit.capacity * this->ReserveShare();
 }
 
 double
-PooledBucket::RemoteCapacity(TimePoint aNow) const
+SharedTokenBucket::RemoteCapacity(TimePoint aNow) const
 {
   return this->limit.capacity + this->limit.slack - this->LocalCapacity(aNow) -
          this->ReserveCapacity();
 }
 
 void
-PooledBucket::Advance(TimePoint aNow)
+SharedTokenBucket::Advance(TimePoint aNow)
 {
   const double seconds = ToSeconds(aNow - this->advancedAt);
   if (seconds <= 0) {
@@ -166,9 +166,9 @@
 }
 
 void
-PooledBucket::RotateGenerations(TimePoint aNow)
+SharedTokenBucket::RotateGenerations(TimePoint aNow)
 {
-  if (aNow - this->rotatedAt < this->settings.silence) {
+  if (aNow - this->rotatedAt < this->settings.silenceTimeout) {
     return;
   }
   this->rotatedAt = aNow;
@@ -181,7 +181,7 @@
 }
 
 double
-PooledBucket::Take(double aTokens, TimePoint aNow)
+SharedTokenBucket::TryConsume(double aTokens, TimePoint aNow)
 {
   if (!this->daemonCount) {
     const auto left = this->startedAt + this->settings.daemonCountTimeout - aNow;
@@ -204,8 +204,8 @@
   return std::max(wait, ToSeconds(this->refusedUntil - aNow));
 }
 
-std::optional<LoanRequest>
-PooledBucket::WantedLoan(double aTokens, TimePoint aNow)
+std::optional<LimitTokenRequest>
+SharedTokenBucket::MakeTokenRequest(double aTokens, TimePoint aNow)
 {
   this->Advance(aNow);
   const double need = aTokens - this->localTokens - this->reserveTokens;
@@ -216,67 +216,68 @@
   }
   const double prefetchTokens =
     this->limit.rate / *this->daemonCount * ToSeconds(this->settings.prefetch);
-  return LoanRequest{ 0, need, need + prefetchTokens, {} };
+  return LimitTokenRequest{ 0, need, need + prefetchTokens, {} };
 }
 
 void
-PooledBucket::OnLoan(const Loan& aLoan, double aNeed, TimePoint aNow)
+SharedTokenBucket::OnTokenGrant(const LimitTokenGrant& aGrant, double aNeed, TimePoint aNow)
 {
   this->Advance(aNow);
   this->unansweredSince.reset();
-  if (aLoan.tokens > 0) {
-    this->localTokens += aLoan.tokens;
-    this->remoteTokens -= aLoan.tokens;
+  if (aGrant.tokens > 0) {
+    this->localTokens += aGrant.tokens;
+    this->remoteTokens -= aGrant.tokens;
     return;
   }
   this->refusedTokens = aNeed;
-  const double wait = std::min(aLoan.wait, ToSeconds(this->settings.maximumRefusal));
+  const double wait = std::min(aGrant.retryAfterSeconds, ToSeconds(this->settings.maximumRefusal));
   this->refusedUntil =
     aNow + std::chrono::duration_cast<TimePoint::duration>(std::chrono::duration<double>(wait));
 }
 
 void
-PooledBucket::OnLoanUnanswered(TimePoint aNow)
+SharedTokenBucket::OnTokenRequestTimeout(TimePoint aNow)
 {
   // The local share may refill at a different rate from now on: the tokens up to now are added at the previous rate
   // first
   this->Advance(aNow);
   this->refusedTokens = 0;
   this->refusedUntil = aNow + this->settings.unansweredRetryDelay;
-  if (!this->unansweredSince || aNow - this->lastUnansweredAt > this->settings.silence) {
+  if (!this->unansweredSince || aNow - this->lastUnansweredAt > this->settings.silenceTimeout) {
     this->unansweredSince = aNow;
   }
   this->lastUnansweredAt = aNow;
 }
 
-Loan
-PooledBucket::Lend(const LoanRequest& aRequest, TimePoint aNow)
+LimitTokenGrant
+SharedTokenBucket::GrantTokens(const LimitTokenRequest& aRequest, TimePoint aNow)
 {
   if (this->role == ReserveRole::None || !this->daemonCount) {
     return {};
   }
   this->Advance(aNow);
   const bool isAmple = this->reserveTokens >= this->ReserveCapacity() * kAmpleFraction;
-  const double preferred = isAmple ? std::max(aRequest.want, aRequest.need) : aRequest.need;
-  const double granted = preferred <= this->reserveTokens ? preferred : aRequest.need;
+  const double preferred =
+    isAmple ? std::max(aRequest.preferredTokens, aRequest.neededTokens) : aRequest.neededTokens;
+  const double granted = preferred <= this->reserveTokens ? preferred : aRequest.neededTokens;
   if (granted <= this->reserveTokens) {
     this->reserveTokens -= granted;
     this->currentGrants += granted;
     return { granted, 0 };
   }
   const double refillSeconds =
-    (aRequest.need - this->reserveTokens) / std::max(this->limit.rate, 1.0);
+    (aRequest.neededTokens - this->reserveTokens) / std::max(this->limit.rate, 1.0);
   const double pacingSeconds = *this->daemonCount / this->settings.refusalsPerSecond;
   return { 0,
            std::max({ refillSeconds, pacingSeconds, ToSeconds(this->settings.minimumRefusal) }) };
 }
 
 void
-PooledBucket::OnSendInterval(int aDaemons, TimePoint aNow)
+SharedTokenBucket::OnSendInterval(int aDaemons, TimePoint aNow)
 {
   this->Advance(aNow);
   std::erase_if(this->peers, [&](const auto& aPeer) {
-    return aNow - aPeer.second.receivedAt > this->settings.memory;
+    return aNow - aPeer.second.receivedAt > this->settings.peerRetention;
   });
   const int count = std::max(aDaemons, 1);
   if (this->daemonCount == count) {
@@ -293,8 +294,8 @@
 }
 
 void
-PooledBucket::OnPeer(std::uint64_t aPeer, double aTotal, TimePoint aNow, int aDaemons,
-                     std::uint64_t aSeries)
+SharedTokenBucket::OnPeerTotal(std::uint64_t aPeer, double aTotal, TimePoint aNow, int aDaemons,
+                               std::uint64_t aSeries)
 {
   this->Advance(aNow);
   const auto known = this->peers.find(aPeer);
@@ -309,7 +310,7 @@
 }
 
 void
-PooledBucket::ChargeRemote(double aTokens)
+SharedTokenBucket::ChargeRemote(double aTokens)
 {
   double left = aTokens;
   // Grants were charged when they were made, and the surplus was never added to the other shares: both are used up
--- a/Lagoonward/Admission/PooledBucket.h
+++ b/Lagoonward/Admission/SharedTokenBucket.h
@@ -21,13 +21,13 @@
 };
 
 /// Settings of shared token buckets.
-struct PooledBucketSettings
+struct SharedTokenBucketSettings
 {
   /// A peer that sends nothing for this long, three messages, may be unreachable. Totals received from peers are never
   /// older than this.
-  Milliseconds silence{ 1600 };
-  Milliseconds memory{ 20'000 };  ///< A peer that sends nothing for this long is removed.
-  double initialFillRatio = 0.25; ///< Of a bucket whose previous usage is unknown.
+  Milliseconds silenceTimeout{ 1600 };
+  Milliseconds peerRetention{ 20'000 }; ///< A peer that sends nothing for this long is removed.
+  double initialFillRatio = 0.25;       ///< Of a bucket whose previous usage is unknown.
   /// A daemon that has not learned how many daemons share its limits admits nothing for this long, then assumes that it
   /// is the only one. The list of daemons comes from the same source as the limits, within some ten milliseconds of
   /// them.
@@ -58,20 +58,20 @@
 };
 
 /// A reserve's reply.
-struct Loan
+struct LimitTokenGrant
 {
   double tokens = 0; ///< Zero for a refusal.
-  double wait =
+  double retryAfterSeconds =
     0; ///< Seconds until the next request is allowed; zero if the daemon asked owns no reserve.
 };
 
 /// A daemon's request to a reserve.
-struct LoanRequest
+struct LimitTokenRequest
 {
-  std::uint64_t client = 0; ///< Hash of the account's name.
-  double need = 0;          ///< Smallest useful number of tokens.
-  double want = 0;          ///< Preferred number of tokens, at least `need`.
-  std::string account;      ///< The account's name, for logs.
+  std::uint64_t client = 0;   ///< Hash of the account's name.
+  double neededTokens = 0;    ///< Smallest useful number of tokens.
+  double preferredTokens = 0; ///< Preferred number of tokens, at least `neededTokens`.
+  std::string account;        ///< The account's name, for logs.
 };
 
 /// One client's token bucket, shared by all daemons of the deployment. It is divided into shares, so that the number of
@@ -88,43 +88,43 @@
 /// tokens that they have admitted at an interval.
 ///
 /// Error bound: while one daemon at a time is the primary reserve and one the backup, all daemons together admit at
-/// most capacity + slack + rate * time, for any number of daemons and any message delay up to `silence`. A daemon that
-/// starts adds initialFillRatio of its local share. While daemons disagree about the roles, each role held twice adds
-/// its share of the rate for that time. A reserve refills only for the fraction of daemons that it receives messages
-/// from; a daemon that no reserve has answered for `silence` holds and refills an equal share of the whole limit. The
-/// sides of a network partition thus stay within the limit together, except for the time until the partition is
-/// detected.
+/// most capacity + slack + rate * time, for any number of daemons and any message delay up to `silenceTimeout`. A
+/// daemon that starts adds initialFillRatio of its local share. While daemons disagree about the roles, each role held
+/// twice adds its share of the rate for that time. A reserve refills only for the fraction of daemons that it receives
+/// messages from; a daemon that no reserve has answered for `silenceTimeout` holds and refills an equal share of the
+/// whole limit. The sides of a network partition thus stay within the limit together, except for the time until the
+/// partition is detected.
 ///
 /// The largest request that can be admitted is the capacity of the primary reserve and of the daemon's local share.
 /// Not thread-safe.
-class PooledBucket
+class SharedTokenBucket
 {
 public:
-  PooledBucket(const PooledBucketSettings& aSettings, TimePoint aNow);
+  SharedTokenBucket(const SharedTokenBucketSettings& aSettings, TimePoint aNow);
 
   /// Sets the limit. A lower limit takes effect immediately; an equal one changes nothing.
   void Configure(const PooledLimit& aLimit, TimePoint aNow);
 
   /// Sets which reserve this daemon owns. A reserve starts empty, unless this daemon owned the other reserve before.
-  void SetRole(ReserveRole aRole, TimePoint aNow);
+  void SetReserveRole(ReserveRole aRole, TimePoint aNow);
 
   /// Consumes tokens that this daemon holds.
   /// @return zero if they were consumed, otherwise the seconds until they may be available
-  [[nodiscard]] double Take(double aTokens, TimePoint aNow);
+  [[nodiscard]] double TryConsume(double aTokens, TimePoint aNow);
 
-  /// Returns the tokens to request from a reserve before Take() is called, or nothing: if this daemon holds enough, if
-  /// it is the only daemon, or if the reserves have refused as many tokens a short time ago.
-  [[nodiscard]] std::optional<LoanRequest> WantedLoan(double aTokens, TimePoint aNow);
+  /// Returns the tokens to request from a reserve before TryConsume() is called, or nothing: if this daemon holds
+  /// enough, if it is the only daemon, or if the reserves have refused as many tokens a short time ago.
+  [[nodiscard]] std::optional<LimitTokenRequest> MakeTokenRequest(double aTokens, TimePoint aNow);
 
   /// Handles the reply of a reserve.
   /// @param aNeed  tokens that were needed in the request
-  void OnLoan(const Loan& aLoan, double aNeed, TimePoint aNow);
+  void OnTokenGrant(const LimitTokenGrant& aGrant, double aNeed, TimePoint aNow);
 
   /// Handles a request that no reserve has answered.
-  void OnLoanUnanswered(TimePoint aNow);
+  void OnTokenRequestTimeout(TimePoint aNow);
 
   /// Handles another daemon's request for tokens of the reserve that this daemon owns.
-  [[nodiscard]] Loan Lend(const LoanRequest& aRequest, TimePoint aNow);
+  [[nodiscard]] LimitTokenGrant GrantTokens(const LimitTokenRequest& aRequest, TimePoint aNow);
 
   /// Must be called before each time that AdmittedTotal() is sent to the peers.
   /// @param aDaemons  number of daemons that share the limit, including this one
@@ -134,8 +134,8 @@
   /// deployment.
   /// @param aDaemons  number of daemons that the peer represents now
   /// @param aSeries   identifies the counter series of the total; totals of different series are not compared
-  void OnPeer(std::uint64_t aPeer, double aTotal, TimePoint aNow, int aDaemons = 1,
-              std::uint64_t aSeries = 0);
+  void OnPeerTotal(std::uint64_t aPeer, double aTotal, TimePoint aNow, int aDaemons = 1,
+                   std::uint64_t aSeries = 0);
 
   [[nodiscard]] double AdmittedTotal() const { return this->admittedTotal; }
 
@@ -159,7 +159,7 @@
   void RotateGenerations(TimePoint aNow);
   /// Charges tokens that other daemons have used, from their local shares or from grants.
   void ChargeRemote(double aTokens);
-  /// Fraction of the daemons with a message within `silence`, including this one.
+  /// Fraction of the daemons with a message within `silenceTimeout`, including this one.
   [[nodiscard]] double ReachableFraction(TimePoint aNow) const;
   /// Fraction of the limit that belongs to the reserve of this daemon.
   [[nodiscard]] double ReserveShare() const;
@@ -172,7 +172,7 @@
   /// of a reserve, which uses its own.
   [[nodiscard]] bool IsPartitioned(TimePoint aNow) const;
 
-  PooledBucketSettings settings;
+  SharedTokenBucketSettings settings;
   PooledLimit limit;
   bool isConfigured = false;
   std::optional<int> daemonCount; ///< Daemons that share the limit; empty until known.
@@ -184,7 +184,7 @@
   double reserveTokens = 0; ///< Left of the reserve of this daemon.
   double remoteTokens = 0;  ///< Estimate of what is left of all other shares.
 
-  // Kept in two generations of `silence` each: a total received from a peer may be as old as one generation
+  // Kept in two generations of `silenceTimeout` each: a total received from a peer may be as old as one generation
   TimePoint rotatedAt;
   double currentSurplus =
     0; ///< Tokens that did not fit into the other shares, unless peers report that they used them.
--- a/Lagoonward/Attempts/Answer.cpp
+++ b/Lagoonward/Attempts/Answer.cpp
@@ -80,7 +80,7 @@
 Answer::RemoveDisconnectedSubscribers()
 {
   const std::scoped_lock lock(this->mutex);
-  std::erase_if(this->subscribers, [](const auto& aOther) { return aOther->IsGone(); });
+  std::erase_if(this->subscribers, [](const auto& aOther) { return aOther->IsDisconnected(); });
   return this->subscribers.size();
 }
 
--- a/Lagoonward/Attempts/Answer.h
+++ b/Lagoonward/Attempts/Answer.h
@@ -32,7 +32,7 @@
   virtual void OnChanged(const Answer& aAnswer) = 0;
 
   /// Whether the caller is known to have disconnected.
-  [[nodiscard]] virtual bool IsGone() = 0;
+  [[nodiscard]] virtual bool IsDisconnected() = 0;
 };
 
 /// The answer to one request: tokens in order, then exactly one end. Written by the request's run and read by any
--- a/Lagoonward/Attempts/AttemptSettings.h
+++ b/Lagoonward/Attempts/AttemptSettings.h
@@ -16,7 +16,7 @@
   /// The same before the first token, as a multiple of first_token_ms: a queued request sends no data either.
   double firstTokenSilenceFactor = 2;
   /// How long a resumed stream may take to its first event before the endpoint counts as failed.
-  Milliseconds reconnectPatience{ 1000 };
+  Milliseconds reconnectTimeout{ 1000 };
   /// Timeout of each of the two steps of copying a KV cache.
   Milliseconds kvTransferTimeout{ 10'000 };
   /// Timeout after which an idempotent service call is sent again on a new connection; doubles with each attempt. Any
--- a/Lagoonward/Attempts/CompletionCall.h
+++ b/Lagoonward/Attempts/CompletionCall.h
@@ -59,10 +59,10 @@
   std::vector<std::uint64_t> prefixBlocks; ///< Chained hashes of the prompt's complete blocks.
   std::string takeOverEndpoint; ///< Endpoint that runs the stream of a lost daemon; empty if none.
   std::string takeOverStream;   ///< Id of that stream, which is resumed.
-  std::string askedModel;       ///< The `model` field as the caller sent it.
+  std::string requestedModel;   ///< The `model` field as the caller sent it.
 
   /// The model or service of the answer, as the caller named it.
-  [[nodiscard]] const std::string& Target() const { return this->askedModel; }
+  [[nodiscard]] const std::string& Target() const { return this->requestedModel; }
 };
 
 /// A validated request for a plain service.
--- a/Lagoonward/Attempts/CompletionRun.cpp
+++ b/Lagoonward/Attempts/CompletionRun.cpp
@@ -18,7 +18,7 @@
   , call(std::move(aCall))
   , answer(std::move(aAnswer))
   , report(aContext, this->call.terms, this->answer, std::move(aOnEnded))
-  , crashTracker(this->call.terms.Fingerprint(), aContext.poison, aContext.crashCheck,
+  , crashTracker(this->call.terms.Fingerprint(), aContext.poison, aContext.crashProbe,
                  aContext.fleet, aContext.loop.GetClock())
   , move(aContext, this->report, [this](std::string_view aReason) { this->BeginMove(aReason); })
 {
@@ -113,10 +113,10 @@
 CompletionRun::CancelStreamThenMove()
 {
   this->stream.reset();
-  this->cancellation = std::make_unique<StreamStop>(
+  this->cancellation = std::make_unique<StreamCancellation>(
     this->context.loop, this->baseUrl + "/v1/streams/" + this->streamId,
-    this->context.settings.reconnectPatience, [this](bool aStopped) {
-      const std::unique_ptr<StreamStop> finished = std::move(this->cancellation);
+    this->context.settings.reconnectTimeout, [this](bool aStopped) {
+      const std::unique_ptr<StreamCancellation> finished = std::move(this->cancellation);
       if (aStopped) {
         this->DispatchElsewhere();
       } else {
@@ -245,7 +245,7 @@
     return;
   }
   if (this->crashTracker.IsPoisoned()) {
-    this->Fail(CrashWitness::PoisonError(this->mayHaveRun ? Ran::Unknown : Ran::No));
+    this->Fail(RunCrashTracker::PoisonError(this->mayHaveRun ? Ran::Unknown : Ran::No));
     return;
   }
   std::vector<std::string_view> excludedViews;
@@ -373,7 +373,7 @@
   this->move.Cancel();
   this->LeaveEndpoint(DispatchOutcome::Failed);
   ++this->context.counters.retries;
-  if (!this->context.retryBudget.TryTake()) {
+  if (!this->context.retryBudget.TryConsume()) {
     this->report.RecordDecision(
       fmt::format("waits for a backoff, the retry budget is exhausted ({}).", aReason));
     this->DispatchAfterBackoff();
@@ -399,7 +399,7 @@
   HttpTransferRequest request;
   request.method = "DELETE";
   request.url = this->baseUrl + "/v1/streams/" + this->streamId;
-  request.timeout = this->context.settings.reconnectPatience;
+  request.timeout = this->context.settings.reconnectTimeout;
   this->context.loop.StartDetachedTransfer(request);
 }
 
@@ -480,7 +480,7 @@
 {
   const AttemptSettings& settings = this->context.settings;
   if (this->resuming) {
-    return settings.reconnectPatience;
+    return settings.reconnectTimeout;
   }
   const ManifestClass& target = this->call.terms.callClass;
   const bool isFirst = this->answer->TokenCount() == 0;
@@ -498,7 +498,7 @@
   this->report.RecordDecision(fmt::format("answer complete: {} tokens, {}, {} attempts.",
                                           this->answer->TokenCount(), aFinishReason,
                                           this->attemptCount));
-  this->crashTracker.OnWhole();
+  this->crashTracker.OnRequestCompleted();
   this->report.SettleSuccess();
   this->answer->Finish(aFinishReason);
   this->report.Announce(this->endpointId, this->streamId, true);
--- a/Lagoonward/Attempts/CompletionRun.h
+++ b/Lagoonward/Attempts/CompletionRun.h
@@ -3,7 +3,7 @@
 #include "Lagoonward/Attempts/CompletionCall.h"
 #include "Lagoonward/Attempts/PlannedMove.h"
 #include "Lagoonward/Attempts/RunContext.h"
-#include "Lagoonward/Attempts/StreamStop.h"
+#include "Lagoonward/Attempts/StreamCancellation.h"
 
 #include <functional>
 #include <memory>
@@ -97,15 +97,16 @@
   CompletionCall call;
   AnswerPtr answer;
   RunReport report;
-  CrashWitness crashTracker;
+  RunCrashTracker crashTracker;
   PlannedMove move;
 
   std::string endpointId;
   std::string baseUrl;
   lagoonward::Dispatch dispatch; ///< The router's record of the attempt.
   std::unique_ptr<EngineStream> stream;
-  std::unique_ptr<StreamStop> cancellation; ///< Ends a non-idempotent stream before the move.
-  std::string streamId;                     ///< The engine's id of the stream; empty until opened.
+  std::unique_ptr<StreamCancellation>
+    cancellation;       ///< Ends a non-idempotent stream before the move.
+  std::string streamId; ///< The engine's id of the stream; empty until opened.
   std::vector<std::string> excludedEndpoints; ///< Endpoints that failed this request.
 
   int attemptCount = 0;
--- a/Lagoonward/Attempts/CrashCheck.cpp
+++ b/Lagoonward/Attempts/CrashProbe.cpp
@@ -1,4 +1,4 @@
-#include "Lagoonward/Attempts/CrashCheck.h"
+#include "Lagoonward/Attempts/CrashProbe.h"
 
 #include <optional>
 #include <utility>
@@ -14,10 +14,10 @@
 } // namespace
 
 /// One new connection to an endpoint, closed as soon as it is established.
-class CrashCheck::ConnectionAttempt final : private HttpTransferObserver
+class CrashProbe::ConnectionAttempt final : private HttpTransferObserver
 {
 public:
-  ConnectionAttempt(CrashCheck& aOwner, std::string aAddress)
+  ConnectionAttempt(CrashProbe& aOwner, std::string aAddress)
     : owner(aOwner)
     , address(std::move(aAddress))
   {
@@ -45,9 +45,9 @@
   ConnectionAttempt(const ConnectionAttempt&) = delete;
   ConnectionAttempt& operator=(const ConnectionAttempt&) = delete;
 
-  void Add(PoisonGuard& aGuard, const CrashReport& aReport, std::function<void()> aOnKnown)
+  void Add(PoisonRequestFilter& aFilter, const CrashReport& aReport, std::function<void()> aOnKnown)
   {
-    this->lostConnections.push_back({ &aGuard, aReport, this->owner.loop.GetClock().Now() });
+    this->lostConnections.push_back({ &aFilter, aReport, this->owner.loop.GetClock().Now() });
     this->waitingCallbacks.push_back(std::move(aOnKnown));
     if (!this->timer) {
       this->NotifyWaiting();
@@ -63,7 +63,7 @@
         const auto since = std::chrono::floor<Milliseconds>(now - each.at).count();
         each.report.age += since;
         each.report.sentAge += since;
-        each.guard->OnCrash(each.report);
+        each.filter->OnCrash(each.report);
       }
     }
     this->NotifyWaiting();
@@ -72,7 +72,7 @@
 private:
   struct LostConnection
   {
-    PoisonGuard* guard = nullptr;
+    PoisonRequestFilter* filter = nullptr;
     CrashReport report;
     TimePoint at;
   };
@@ -93,7 +93,7 @@
     this->owner.OnAttemptEnded(this->address, aEnd.isConnectionRefused);
   }
 
-  CrashCheck& owner;
+  CrashProbe& owner;
   std::string address;
   TransferId transfer = 0;
   std::optional<TrafficLoop::TimerId> timer; ///< Set until kWaitTimeout has passed.
@@ -101,26 +101,26 @@
   std::vector<std::function<void()>> waitingCallbacks;
 };
 
-CrashCheck::CrashCheck(TrafficLoop& aLoop)
+CrashProbe::CrashProbe(TrafficLoop& aLoop)
   : loop(aLoop)
 {
 }
 
-CrashCheck::~CrashCheck() = default;
+CrashProbe::~CrashProbe() = default;
 
 void
-CrashCheck::OnConnectionLost(PoisonGuard& aGuard, const std::string& aAddress,
+CrashProbe::OnConnectionLost(PoisonRequestFilter& aFilter, const std::string& aAddress,
                              const CrashReport& aReport, std::function<void()> aOnKnown)
 {
   std::unique_ptr<ConnectionAttempt>& attempt = this->attempts[aAddress];
   if (attempt == nullptr) {
     attempt = std::make_unique<ConnectionAttempt>(*this, aAddress);
   }
-  attempt->Add(aGuard, aReport, std::move(aOnKnown));
+  attempt->Add(aFilter, aReport, std::move(aOnKnown));
 }
 
 void
-CrashCheck::OnAttemptEnded(const std::string& aAddress, bool aIsDead)
+CrashProbe::OnAttemptEnded(const std::string& aAddress, bool aIsDead)
 {
   auto found = this->attempts.extract(aAddress);
   found.mapped()->Settle(aIsDead);
--- a/Lagoonward/Attempts/CrashCheck.h
+++ b/Lagoonward/Attempts/CrashProbe.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "Lagoonward/Admission/PoisonGuard.h"
+#include "Lagoonward/Admission/PoisonRequestFilter.h"
 #include "Lagoonward/Wire/TrafficLoop.h"
 
 #include <functional>
@@ -14,21 +14,21 @@
 /// Determines whether an endpoint has crashed after a connection to it broke. Connections break for many reasons;
 /// an endpoint that still accepts new connections has not crashed. All broken connections to an endpoint on
 /// this loop share one connection attempt, on which no data is sent. Used on one TrafficLoop only.
-class CrashCheck
+class CrashProbe
 {
 public:
   /// The loop must outlive this object.
-  explicit CrashCheck(TrafficLoop& aLoop);
-  ~CrashCheck();
-  CrashCheck(const CrashCheck&) = delete;
-  CrashCheck& operator=(const CrashCheck&) = delete;
+  explicit CrashProbe(TrafficLoop& aLoop);
+  ~CrashProbe();
+  CrashProbe(const CrashProbe&) = delete;
+  CrashProbe& operator=(const CrashProbe&) = delete;
 
   /// Handles a connection that broke while a request used it.
-  /// @param aGuard    receives the report if the endpoint has crashed; must outlive this object
+  /// @param aFilter   receives the report if the endpoint has crashed; must outlive this object
   /// @param aAddress  address of the endpoint, `IP:PORT`
-  /// @param aOnKnown  called once: when the result is known and a crash has been reported to aGuard, or when the result
-  ///                  does not arrive in time, because a connection attempt that hangs is not refused either
-  void OnConnectionLost(PoisonGuard& aGuard, const std::string& aAddress,
+  /// @param aOnKnown  called once: when the result is known and a crash has been reported to aFilter, or when the
+  ///                  result does not arrive in time, because a connection attempt that hangs is not refused either
+  void OnConnectionLost(PoisonRequestFilter& aFilter, const std::string& aAddress,
                         const CrashReport& aReport, std::function<void()> aOnKnown);
 
 private:
--- a/Lagoonward/Attempts/DispatchClaim.cpp
+++ b/Lagoonward/Attempts/DispatchClaim.cpp
@@ -68,7 +68,7 @@
     return;
   }
   if (aRan == Ran::No && !this->dispatched.value_or(false)) {
-    this->claims.GiveUp(this->ticket);
+    this->claims.Withdraw(this->ticket);
     return;
   }
   this->claims.ReportOutcome(this->ticket, aRan);
--- a/Lagoonward/Attempts/Market.cpp
+++ b/Lagoonward/Attempts/Market.cpp
@@ -18,7 +18,7 @@
 }
 
 ConfigurationPtr
-Market::InForce() const
+Market::ConfigurationInForce() const
 {
   const std::scoped_lock lock(this->mutex);
   return this->configuration;
@@ -40,7 +40,7 @@
 void
 Market::ApplyFleet(const FleetSnapshot& aFleet)
 {
-  const ConfigurationPtr inForce = this->InForce();
+  const ConfigurationPtr inForce = this->ConfigurationInForce();
   if (inForce == nullptr) {
     return;
   }
@@ -92,12 +92,12 @@
 }
 
 std::vector<MarketPtr>
-MarketDirectory::InForce() const
+MarketDirectory::ConfiguredMarkets() const
 {
   const std::scoped_lock lock(this->mutex);
   std::vector<MarketPtr> inForce;
   for (const auto& [name, market] : this->markets) {
-    if (market->InForce() != nullptr) {
+    if (market->ConfigurationInForce() != nullptr) {
       inForce.push_back(market);
     }
   }
--- a/Lagoonward/Attempts/Market.h
+++ b/Lagoonward/Attempts/Market.h
@@ -2,7 +2,7 @@
 
 #include "Lagoonward/Admission/Admission.h"
 #include "Lagoonward/Admission/EndpointLimits.h"
-#include "Lagoonward/Admission/PoisonGuard.h"
+#include "Lagoonward/Admission/PoisonRequestFilter.h"
 #include "Lagoonward/Admission/RetryBudget.h"
 #include "Lagoonward/Configuration/Configuration.h"
 #include "Lagoonward/Fleet/FleetSnapshot.h"
@@ -25,7 +25,7 @@
   RoutingTableSettings table;
   AdmissionSettings admission;
   RetryBudgetSettings retries;
-  PoisonSettings poison;
+  PoisonFilterSettings poison;
   EndpointLimitSettings endpointLimits;
 };
 
@@ -41,13 +41,13 @@
   [[nodiscard]] const std::string& Name() const { return this->name; }
 
   /// The configuration in force; null before the first one.
-  [[nodiscard]] ConfigurationPtr InForce() const;
+  [[nodiscard]] ConfigurationPtr ConfigurationInForce() const;
 
   /// Records that the market's stream was read to its end and holds no configuration. Control thread only.
-  void MarkEmpty() { this->knownUnconfigured = true; }
+  void MarkUnconfigured() { this->knownUnconfigured = true; }
 
   /// Whether a complete read of the market's stream found no configuration.
-  [[nodiscard]] bool IsKnownEmpty() const { return this->knownUnconfigured; }
+  [[nodiscard]] bool IsKnownUnconfigured() const { return this->knownUnconfigured; }
 
   /// Puts a newer configuration in force; an older or equal one is ignored. Control thread only.
   void ApplyConfiguration(const ConfigurationPtr& aConfiguration);
@@ -61,7 +61,7 @@
   Router router;
   Admission admission;
   RetryBudget retryBudget;
-  PoisonGuard poison;
+  PoisonRequestFilter poison;
   EndpointLimits endpointLimits;
 
 private:
@@ -88,7 +88,7 @@
   [[nodiscard]] MarketPtr Find(std::string_view aName) const;
 
   /// All markets that have a configuration in force.
-  [[nodiscard]] std::vector<MarketPtr> InForce() const;
+  [[nodiscard]] std::vector<MarketPtr> ConfiguredMarkets() const;
 
 private:
   MarketSettings settings;
--- a/Lagoonward/Attempts/MoveCoordinator.cpp
+++ b/Lagoonward/Attempts/MoveCoordinator.cpp
@@ -61,7 +61,7 @@
       const Endpoint* source = aFleet.Find(run.run->EndpointId());
       streams.push_back(this->DescribeStream(run, *source, aFleet, aNow));
     }
-    const ManifestObjective objective = market->InForce()->manifest.objective;
+    const ManifestObjective objective = market->ConfigurationInForce()->manifest.objective;
     const auto plans = this->planner.PlanMoves(streams, targets, objective, aNow);
     for (std::size_t index = 0; index < plans.size(); ++index) {
       runs[index].run->ApplyPlan(plans[index]);
@@ -89,7 +89,7 @@
     target.endpoint = endpoint.id;
     target.failureDomain = endpoint.failureDomain;
     target.leaving = endpoint.state != EndpointState::Live;
-    target.domainGoing = this->IsDomainLeaving(aFleet, endpoint.failureDomain);
+    target.domainLeaving = this->IsDomainLeaving(aFleet, endpoint.failureDomain);
     const int usedSlots = endpoint.load ? endpoint.load->running + endpoint.load->waiting : 0;
     target.freeSlots = std::max(0, this->settings.batchLimit - usedSlots);
     target.tokensPerSecond = this->settings.tokensPerSecond;
@@ -111,7 +111,7 @@
   StreamView view;
   view.id = call.terms.requestId;
   view.endpoint = aSource.id;
-  view.goneAfter = aSource.goneAfter.value_or(aNow + this->settings.planner.defaultGrace);
+  view.availableUntil = aSource.availableUntil.value_or(aNow + this->settings.planner.defaultGrace);
   view.promptTokens = call.promptTokens;
   view.generatedTokens = generated;
   // Most answers reach their token limit; one that ends earlier only makes the move unnecessary
@@ -144,8 +144,8 @@
       leaving += endpoint.state == EndpointState::Leaving ? 1 : 0;
     }
   }
-  return leaving >= this->settings.planner.domainGoingHosts &&
-         leaving >= this->settings.planner.domainGoingShare * hosts;
+  return leaving >= this->settings.planner.domainLeavingMinHosts &&
+         leaving >= this->settings.planner.domainLeavingRatio * hosts;
 }
 
 } // namespace lagoonward
--- a/Lagoonward/Attempts/RequestDirectory.h
+++ b/Lagoonward/Attempts/RequestDirectory.h
@@ -13,7 +13,7 @@
 
 /// Location of the run of a request with an idempotency key. A sibling daemon stores it, so that a caller who
 /// reconnects through another daemon joins the run.
-struct RequestPlace
+struct RequestLocation
 {
   std::string key; ///< CallTerms::RegistryKey().
   std::uint64_t bodyHash = 0;
@@ -25,7 +25,7 @@
 };
 
 /// A request that runs or has run at another daemon.
-struct FoundRequest
+struct RemoteRequest
 {
   std::uint64_t server = 0; ///< The daemon's id in the directory.
   bool isServerAlive = false;
@@ -59,21 +59,21 @@
 class RequestDirectory
 {
 public:
-  using Found = std::function<void(std::optional<FoundRequest> aRequest)>;
-  using Part = std::function<void(Result<AnswerPart> aPart)>;
+  using FindCallback = std::function<void(std::optional<RemoteRequest> aRequest)>;
+  using ReadCallback = std::function<void(Result<AnswerPart> aPart)>;
 
   virtual ~RequestDirectory() = default;
 
   /// Sends the location of a request to a sibling without waiting for a confirmation. If the message is lost, an
   /// idempotent request may run a second time; the answer is never wrong.
-  virtual void Place(const RequestPlace& aPlace) = 0;
+  virtual void PublishLocation(const RequestLocation& aPlace) = 0;
 
   /// Searches the siblings for a request, with a short time limit.
-  virtual void Find(const std::string& aKey, Found aFound) = 0;
+  virtual void Find(const std::string& aKey, FindCallback aFound) = 0;
 
   /// Reads a piece of an answer from the daemon that serves it. Errors: PlatformUnavailable, EndpointFailed,
   /// DeadlineExceeded; all of them mean that the daemon did not respond.
-  virtual void Read(std::uint64_t aServer, const AnswerQuery& aQuery, Part aPart) = 0;
+  virtual void Read(std::uint64_t aServer, const AnswerQuery& aQuery, ReadCallback aPart) = 0;
 };
 
 } // namespace lagoonward
--- a/Lagoonward/Attempts/RunContext.h
+++ b/Lagoonward/Attempts/RunContext.h
@@ -2,9 +2,9 @@
 
 #include "Lagoonward/Admission/RetryBudget.h"
 #include "Lagoonward/Attempts/AttemptSettings.h"
-#include "Lagoonward/Attempts/CrashWitness.h"
 #include "Lagoonward/Attempts/DecisionJournal.h"
 #include "Lagoonward/Attempts/RequestDirectory.h"
+#include "Lagoonward/Attempts/RunCrashTracker.h"
 #include "Lagoonward/Fleet/FleetStore.h"
 #include "Lagoonward/Routing/Router.h"
 #include "Lagoonward/Wire/TrafficLoop.h"
@@ -38,8 +38,8 @@
   RunCounters& counters;
   const AttemptSettings& settings;
   RequestDirectory* directory; ///< Null if there are no other daemons.
-  PoisonGuard& poison;
-  CrashCheck& crashCheck;
+  PoisonRequestFilter& poison;
+  CrashProbe& crashProbe;
 };
 
 } // namespace lagoonward
--- a/Lagoonward/Attempts/CrashWitness.cpp
+++ b/Lagoonward/Attempts/RunCrashTracker.cpp
@@ -1,4 +1,4 @@
-#include "Lagoonward/Attempts/CrashWitness.h"
+#include "Lagoonward/Attempts/RunCrashTracker.h"
 
 #include "Lagoonward/Core/Hash.h"
 
@@ -6,25 +6,26 @@
 
 namespace lagoonward {
 
-CrashWitness::CrashWitness(std::uint64_t aRequest, PoisonGuard& aGuard, CrashCheck& aCrashCheck,
-                           const FleetStore& aFleet, const Clock& aClock)
+RunCrashTracker::RunCrashTracker(std::uint64_t aRequest, PoisonRequestFilter& aFilter,
+                                 CrashProbe& aCrashProbe, const FleetStore& aFleet,
+                                 const Clock& aClock)
   : request(aRequest)
-  , guard(aGuard)
-  , crashCheck(aCrashCheck)
+  , filter(aFilter)
+  , crashProbe(aCrashProbe)
   , fleet(aFleet)
   , clock(aClock)
 {
 }
 
 Error
-CrashWitness::PoisonError(Ran aRan)
+RunCrashTracker::PoisonError(Ran aRan)
 {
   return Error(ErrorKind::PoisonRequest,
                "Endpoints crashed that ran this request. It will not be served.", aRan);
 }
 
 void
-CrashWitness::OnSent(const Endpoint& aEndpoint)
+RunCrashTracker::OnSent(const Endpoint& aEndpoint)
 {
   this->endpointId = aEndpoint.id;
   this->address = fmt::format("{}:{}", aEndpoint.address, aEndpoint.port);
@@ -35,22 +36,22 @@
 }
 
 void
-CrashWitness::OnRestarted()
+RunCrashTracker::OnRestarted()
 {
   if (this->WasEndpointLive()) {
-    this->guard.OnCrash(this->MakeReport());
+    this->filter.OnCrash(this->MakeReport());
   }
 }
 
 void
-CrashWitness::OnConnectionLost(std::function<void()> aOnKnown)
+RunCrashTracker::OnConnectionLost(std::function<void()> aOnKnown)
 {
   if (!this->WasEndpointLive()) {
     aOnKnown();
     return;
   }
-  this->crashCheck.OnConnectionLost(
-    this->guard, this->address, this->MakeReport(),
+  this->crashProbe.OnConnectionLost(
+    this->filter, this->address, this->MakeReport(),
     [alive = std::weak_ptr(this->lifetimeToken), onKnown = std::move(aOnKnown)] {
       if (!alive.expired()) {
         onKnown();
@@ -59,7 +60,7 @@
 }
 
 bool
-CrashWitness::WasEndpointLive() const
+RunCrashTracker::WasEndpointLive() const
 {
   const FleetSnapshotPtr snapshot = this->fleet.Get();
   const Endpoint* known = snapshot->Find(this->endpointId);
@@ -67,14 +68,14 @@
 }
 
 CrashReport
-CrashWitness::MakeReport() const
+RunCrashTracker::MakeReport() const
 {
   CrashReport report;
   report.request = this->request;
   report.endpoint = this->endpoint;
   report.domain = this->domain;
   report.sentAge = std::chrono::floor<Milliseconds>(this->clock.Now() - this->sentAt).count();
-  report.hadBegun = this->hasPartialAnswer;
+  report.hadPartialAnswer = this->hasPartialAnswer;
   return report;
 }
 
--- a/Lagoonward/Attempts/CrashWitness.h
+++ b/Lagoonward/Attempts/RunCrashTracker.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "Lagoonward/Attempts/CrashCheck.h"
+#include "Lagoonward/Attempts/CrashProbe.h"
 #include "Lagoonward/Core/Error.h"
 #include "Lagoonward/Fleet/FleetStore.h"
 
@@ -12,16 +12,16 @@
 
 /// Connects one run to the poison request filter: tells whether the run's request may be sent, and reports crashes
 /// of the endpoints that it was sent to. Used on the run's TrafficLoop only; owned by the run.
-class CrashWitness
+class RunCrashTracker
 {
 public:
   /// The referenced objects must outlive this one.
   /// @param aRequest  hash of the request; equal for repeated requests of its client account
-  CrashWitness(std::uint64_t aRequest, PoisonGuard& aGuard, CrashCheck& aCrashCheck,
-               const FleetStore& aFleet, const Clock& aClock);
+  RunCrashTracker(std::uint64_t aRequest, PoisonRequestFilter& aFilter, CrashProbe& aCrashProbe,
+                  const FleetStore& aFleet, const Clock& aClock);
 
-  [[nodiscard]] bool IsPoisoned() { return this->guard.IsPoisoned(this->request); }
-  [[nodiscard]] bool IsSuspect() { return this->guard.IsSuspect(this->request); }
+  [[nodiscard]] bool IsPoisoned() { return this->filter.IsPoisoned(this->request); }
+  [[nodiscard]] bool IsSuspect() { return this->filter.IsSuspect(this->request); }
 
   /// The error for a request that must not be sent.
   [[nodiscard]] static Error PoisonError(Ran aRan);
@@ -29,11 +29,11 @@
   /// An attempt at an endpoint starts.
   void OnSent(const Endpoint& aEndpoint);
 
-  /// Part of the answer has arrived.
+  /// ReadCallback of the answer has arrived.
   void OnProgress() { this->hasPartialAnswer = true; }
 
   /// The request completed successfully.
-  void OnWhole() { this->guard.OnWhole(this->request); }
+  void OnRequestCompleted() { this->filter.OnRequestCompleted(this->request); }
 
   /// The endpoint has restarted since the attempt.
   void OnRestarted();
@@ -49,8 +49,8 @@
   [[nodiscard]] CrashReport MakeReport() const;
 
   std::uint64_t request;
-  PoisonGuard& guard;
-  CrashCheck& crashCheck;
+  PoisonRequestFilter& filter;
+  CrashProbe& crashProbe;
   const FleetStore& fleet;
   const Clock& clock;
   std::shared_ptr<bool> lifetimeToken =
@@ -60,7 +60,7 @@
   std::uint64_t endpoint = 0;     ///< Identifies one instance of the endpoint; see EndpointKeyOf().
   std::uint64_t domain = 0;       ///< Hash of its failure domain.
   TimePoint sentAt;
-  bool hasPartialAnswer = false; ///< Part of the answer has arrived.
+  bool hasPartialAnswer = false; ///< ReadCallback of the answer has arrived.
 };
 
 } // namespace lagoonward
--- a/Lagoonward/Attempts/RunReport.cpp
+++ b/Lagoonward/Attempts/RunReport.cpp
@@ -29,7 +29,7 @@
   if (this->context.directory == nullptr || this->terms.idempotencyKey.empty()) {
     return;
   }
-  RequestPlace location;
+  RequestLocation location;
   location.key = this->terms.RegistryKey();
   location.bodyHash = this->terms.bodyHash;
   location.endpointId = aEndpointId;
@@ -37,7 +37,7 @@
   location.revision = ++this->locationRevision;
   location.lifetime = this->context.settings.answerLifetime;
   location.finished = aFinished;
-  this->context.directory->Place(location);
+  this->context.directory->PublishLocation(location);
 }
 
 void
--- a/Lagoonward/Attempts/RunService.cpp
+++ b/Lagoonward/Attempts/RunService.cpp
@@ -15,7 +15,7 @@
 
 RunService::Worker::Worker(const Clock& aClock, const HttpClientSettings& aSettings)
   : loop(aClock, aSettings)
-  , crashCheck(loop)
+  , crashProbe(loop)
 {
 }
 
@@ -217,7 +217,7 @@
 {
   const std::string key = aCall.terms.RegistryKey();
   const auto onFound = [this, call = std::move(aCall), aMarket, aTokens,
-                        aAnswer](const std::optional<FoundRequest>& aFound) {
+                        aAnswer](const std::optional<RemoteRequest>& aFound) {
     if (aFound && aFound->isServerAlive) {
       this->FollowThenRun<Run, Call>(*aFound, call, aMarket, aTokens, aAnswer);
       return;
@@ -238,7 +238,7 @@
 
 template<typename Run, typename Call>
 void
-RunService::FollowThenRun(const FoundRequest& aFound, const Call& aCall, const MarketPtr& aMarket,
+RunService::FollowThenRun(const RemoteRequest& aFound, const Call& aCall, const MarketPtr& aMarket,
                           double aTokens, const AnswerPtr& aAnswer)
 {
   this->journal.Record(kLog, aCall.terms.requestId,
@@ -278,7 +278,7 @@
 {
   // Reject a poison request before a claim is made for it
   if (this->poison.IsPoisoned(aCall.terms.Fingerprint())) {
-    this->Reject(aCall.terms, aAnswer, CrashWitness::PoisonError(Ran::No));
+    this->Reject(aCall.terms, aAnswer, RunCrashTracker::PoisonError(Ran::No));
     this->OnRunEnded({}, true);
     return;
   }
@@ -347,7 +347,7 @@
 {
   const RunContext context{
     aWorker.loop,   aMarket->router,         aMarket->retryBudget, this->fleet,  this->journal,
-    this->counters, this->settings.attempts, this->directory,      this->poison, aWorker.crashCheck
+    this->counters, this->settings.attempts, this->directory,      this->poison, aWorker.crashProbe
   };
   const std::uint64_t id = this->nextRun++;
   const std::string key = aCall.terms.RegistryKey();
--- a/Lagoonward/Attempts/RunService.h
+++ b/Lagoonward/Attempts/RunService.h
@@ -66,7 +66,7 @@
   [[nodiscard]] int ActiveRuns() const { return this->activeRuns; }
   [[nodiscard]] const RunCounters& Counters() const { return this->counters; }
   /// The filter that rejects requests which crash endpoints.
-  [[nodiscard]] PoisonGuard& Poison() { return this->poison; }
+  [[nodiscard]] PoisonRequestFilter& PoisonFilter() { return this->poison; }
   [[nodiscard]] DecisionJournal& Journal() { return this->journal; }
 
 private:
@@ -88,7 +88,7 @@
     std::unordered_map<std::uint64_t, ActiveRun<CompletionRun>> completions;
     std::unordered_map<std::uint64_t, ActiveRun<ServiceRun>> services;
     TrafficLoop loop; ///< After the runs, so that its thread ends before they are destroyed.
-    CrashCheck crashCheck;
+    CrashProbe crashProbe;
   };
 
   template<typename Run, typename Call>
@@ -98,7 +98,7 @@
   void LocateThenRun(Call aCall, const MarketPtr& aMarket, double aTokens,
                      const AnswerPtr& aAnswer);
   template<typename Run, typename Call>
-  void FollowThenRun(const FoundRequest& aFound, const Call& aCall, const MarketPtr& aMarket,
+  void FollowThenRun(const RemoteRequest& aFound, const Call& aCall, const MarketPtr& aMarket,
                      double aTokens, const AnswerPtr& aAnswer);
   template<typename Run, typename Call>
   void AdmitThenRun(Call aCall, const MarketPtr& aMarket, double aTokens, const AnswerPtr& aAnswer,
@@ -128,7 +128,7 @@
   DecisionJournal journal;
   AnswerRegistry registry;
   RunCounters counters;
-  PoisonGuard poison;
+  PoisonRequestFilter poison;
   MoveCoordinator moves;
   ClaimService* claims = nullptr;
   RequestDirectory* directory = nullptr;
--- a/Lagoonward/Attempts/ServiceRun.cpp
+++ b/Lagoonward/Attempts/ServiceRun.cpp
@@ -20,7 +20,7 @@
   , call(std::move(aCall))
   , answer(std::move(aAnswer))
   , report(aContext, this->call.terms, this->answer, std::move(aOnEnded))
-  , crashTracker(this->call.terms.Fingerprint(), aContext.poison, aContext.crashCheck,
+  , crashTracker(this->call.terms.Fingerprint(), aContext.poison, aContext.crashProbe,
                  aContext.fleet, aContext.loop.GetClock())
 {
 }
@@ -90,7 +90,7 @@
   this->context.router.OnFinished(this->dispatch, DispatchOutcome::Completed);
   this->report.RecordDecision(fmt::format("answered by endpoint {} with status {}, {} bytes.",
                                           this->endpointId, aEnd.status, this->reply.body.size()));
-  this->crashTracker.OnWhole();
+  this->crashTracker.OnRequestCompleted();
   this->report.SettleSuccess();
   this->answer->FinishService(std::move(this->reply));
   this->report.Announce(this->endpointId, {}, true);
@@ -105,7 +105,7 @@
     return;
   }
   if (this->crashTracker.IsPoisoned()) {
-    this->Fail(CrashWitness::PoisonError(this->mayHaveRun ? Ran::Unknown : Ran::No));
+    this->Fail(RunCrashTracker::PoisonError(this->mayHaveRun ? Ran::Unknown : Ran::No));
     return;
   }
   const std::vector<std::string_view> excludedViews(this->excludedEndpoints.begin(),
@@ -213,7 +213,7 @@
     return;
   }
   ++this->context.counters.retries;
-  if (this->context.retryBudget.TryTake()) {
+  if (this->context.retryBudget.TryConsume()) {
     this->Dispatch();
   } else {
     this->DispatchAfterBackoff();
--- a/Lagoonward/Attempts/ServiceRun.h
+++ b/Lagoonward/Attempts/ServiceRun.h
@@ -48,7 +48,7 @@
   ServiceCall call;
   AnswerPtr answer;
   RunReport report;
-  CrashWitness crashTracker;
+  RunCrashTracker crashTracker;
 
   std::string endpointId;
   lagoonward::Dispatch dispatch; ///< The router's record of the attempt.
--- a/Lagoonward/Attempts/StreamStop.cpp
+++ b/Lagoonward/Attempts/StreamCancellation.cpp
@@ -1,4 +1,4 @@
-#include "Lagoonward/Attempts/StreamStop.h"
+#include "Lagoonward/Attempts/StreamCancellation.h"
 
 namespace lagoonward {
 
@@ -9,8 +9,8 @@
 
 } // namespace
 
-StreamStop::StreamStop(TrafficLoop& aLoop, std::string aUrl, Milliseconds aTimeout,
-                       std::function<void(bool aStopped)> aOnDone)
+StreamCancellation::StreamCancellation(TrafficLoop& aLoop, std::string aUrl, Milliseconds aTimeout,
+                                       std::function<void(bool aStopped)> aOnDone)
   : loop(aLoop)
   , url(std::move(aUrl))
   , timeout(aTimeout)
@@ -18,7 +18,7 @@
 {
 }
 
-StreamStop::~StreamStop()
+StreamCancellation::~StreamCancellation()
 {
   if (this->transfer != 0) {
     this->loop.CancelTransfer(this->transfer);
@@ -26,7 +26,7 @@
 }
 
 void
-StreamStop::Start()
+StreamCancellation::Start()
 {
   HttpTransferRequest request;
   request.method = "DELETE";
@@ -37,12 +37,12 @@
 }
 
 void
-StreamStop::OnBytes(int /*aStatus*/, std::string_view /*aBytes*/)
+StreamCancellation::OnBytes(int /*aStatus*/, std::string_view /*aBytes*/)
 {
 }
 
 void
-StreamStop::OnEnd(const TransferEnd& aEnd)
+StreamCancellation::OnEnd(const TransferEnd& aEnd)
 {
   this->transfer = 0;
   // A stream that is unknown to the engine may have run to completion there, so 404 is no confirmation
--- a/Lagoonward/Attempts/StreamStop.h
+++ b/Lagoonward/Attempts/StreamCancellation.h
@@ -10,17 +10,17 @@
 /// Cancels a stream at its engine and waits for the engine's confirmation, so that a non-idempotent request can
 /// continue at another endpoint without running twice. The destructor cancels the transfer. Used on one TrafficLoop
 /// only.
-class StreamStop final : private HttpTransferObserver
+class StreamCancellation final : private HttpTransferObserver
 {
 public:
   /// @param aUrl     URL of the stream at its engine
   /// @param aOnDone  called once, on the loop, with whether the engine confirmed the end of the stream; may destroy
   ///                 this object
-  StreamStop(TrafficLoop& aLoop, std::string aUrl, Milliseconds aTimeout,
-             std::function<void(bool aStopped)> aOnDone);
-  ~StreamStop() override;
-  StreamStop(const StreamStop&) = delete;
-  StreamStop& operator=(const StreamStop&) = delete;
+  StreamCancellation(TrafficLoop& aLoop, std::string aUrl, Milliseconds aTimeout,
+                     std::function<void(bool aStopped)> aOnDone);
+  ~StreamCancellation() override;
+  StreamCancellation(const StreamCancellation&) = delete;
+  StreamCancellation& operator=(const StreamCancellation&) = delete;
 
   void Start();
 
--- a/Lagoonward/Claims/ClaimService.cpp
+++ b/Lagoonward/Claims/ClaimService.cpp
@@ -101,12 +101,12 @@
   if (aTicket->BeginDispatch(this->clock)) {
     return true;
   }
-  this->GiveUp(aTicket);
+  this->Withdraw(aTicket);
   return false;
 }
 
 bool
-ClaimService::GiveUp(const ClaimTicketPtr& aTicket)
+ClaimService::Withdraw(const ClaimTicketPtr& aTicket)
 {
   if (!aTicket->Close()) {
     return !aTicket->WasDispatched();
--- a/Lagoonward/Claims/ClaimService.h
+++ b/Lagoonward/Claims/ClaimService.h
@@ -33,7 +33,7 @@
 /// depends on the order of the log alone. Safe from any thread.
 ///
 /// Usage: call Claim(); on Won, call BeginDispatch() right before the first byte is sent; call ReportOutcome()
-/// when the response is complete or it is proven that nothing ran. GiveUp() may be called at any time before
+/// when the response is complete or it is proven that nothing ran. Withdraw() may be called at any time before
 /// that.
 class ClaimService final : public Service
 {
@@ -50,7 +50,7 @@
   void Stop() override;
 
   /// Claims a key. aCallback is called once, from any thread, possibly before this returns; it is not called
-  /// after GiveUp().
+  /// after Withdraw().
   /// @param aBodyHash    hash of the request's body
   /// @param aKeyIssued   when the caller created its key, if known; a key older than the lifetime, less a
   ///                     margin for clock differences, is answered with Expired
@@ -63,7 +63,7 @@
 
   /// Withdraws a claim and frees its key.
   /// @return true if nothing was dispatched and nothing ever will be, which proves `ran: "no"`
-  bool GiveUp(const ClaimTicketPtr& aTicket);
+  bool Withdraw(const ClaimTicketPtr& aTicket);
 
   /// Records the outcome of a dispatched request: Yes if it ran; No only with proof that it did not run, which
   /// frees the key. Unknown is not recorded, because readers assume it by default.
--- a/Lagoonward/Cli/AdminCommands.cpp
+++ b/Lagoonward/Cli/AdminCommands.cpp
@@ -49,7 +49,7 @@
 }
 
 /// Sends a request to the operators' interface of a daemon.
-Result<PlatformAnswer>
+Result<PlatformResponse>
 SendRequest(const std::string& aUrl, const std::string& aMethod, const std::string& aPath)
 {
   PlatformHttpClient client(aUrl, {});
--- a/Lagoonward/Cli/ServeCommand.cpp
+++ b/Lagoonward/Cli/ServeCommand.cpp
@@ -50,7 +50,7 @@
 {
   const std::vector<std::string> environment = CollectEnvironment();
   const SettingsOutcome outcome = SettingsReader::Read(aArguments, environment);
-  if (outcome.helpAsked) {
+  if (outcome.helpRequested) {
     aOut << "usage: lagoonward serve SETTINGS\n\nRuns a daemon. Each setting may also be given as "
             "the variable in brackets; a flag wins.\n\n"
          << SettingsReader::Help();
--- a/Lagoonward/Configuration/ManifestReader.cpp
+++ b/Lagoonward/Configuration/ManifestReader.cpp
@@ -239,10 +239,10 @@
 
 } // namespace
 
-ManifestReading
+ManifestReadResult
 ReadManifest(std::string_view aText)
 {
-  ManifestReading reading;
+  ManifestReadResult reading;
   if (aText.size() > kMaxManifestBytes) {
     reading.faults.push_back({ "", "larger than 1 MiB" });
     return reading;
@@ -251,10 +251,10 @@
   return value ? ReadManifest(*value, "") : reading;
 }
 
-ManifestReading
+ManifestReadResult
 ReadManifest(const json& aValue, std::string_view aPointer)
 {
-  ManifestReading reading;
+  ManifestReadResult reading;
   JsonReader reader(aValue, std::string(aPointer), reading.faults);
   Manifest manifest;
   manifest.market = ReadName(reader, "market", kPathForbidden);
--- a/Lagoonward/Configuration/ManifestReader.h
+++ b/Lagoonward/Configuration/ManifestReader.h
@@ -11,7 +11,7 @@
 using ManifestFault = JsonFault;
 
 /// The result of reading a manifest: the manifest, or all of its faults.
-struct ManifestReading
+struct ManifestReadResult
 {
   std::optional<Manifest> manifest; ///< Set exactly when `faults` is empty.
   JsonFaults faults;
@@ -24,12 +24,12 @@
 /// duplicate members, unknown or missing fields, types, ranges, duplicate names and contradictory
 /// references. Every reader of a configuration stream decides by exactly these rules whether to skip a
 /// record, so changing them changes the record format (docs/design/configuration-order.md).
-[[nodiscard]] ManifestReading
+[[nodiscard]] ManifestReadResult
 ReadManifest(std::string_view aText);
 
 /// As above, for a parsed value.
 /// @param aPointer  JSON pointer to the manifest in its document; empty for the root
-[[nodiscard]] ManifestReading
+[[nodiscard]] ManifestReadResult
 ReadManifest(const nlohmann::json& aValue, std::string_view aPointer);
 
 } // namespace lagoonward
--- a/Lagoonward/Core/Clock.h
+++ b/Lagoonward/Core/Clock.h
@@ -44,7 +44,7 @@
 
 /// A duration multiplied by a factor, truncated to whole milliseconds.
 [[nodiscard]] inline Milliseconds
-Times(Milliseconds aSpan, double aFactor)
+Scale(Milliseconds aSpan, double aFactor)
 {
   return Milliseconds(static_cast<std::int64_t>(static_cast<double>(aSpan.count()) * aFactor));
 }
--- a/Lagoonward/Daemon/ConfigurationShare.cpp
+++ b/Lagoonward/Daemon/ConfigurationState.cpp
@@ -1,4 +1,4 @@
-#include "Lagoonward/Daemon/ConfigurationShare.h"
+#include "Lagoonward/Daemon/ConfigurationState.h"
 
 #include "Lagoonward/Configuration/ConfigurationRecord.h"
 
--- a/Lagoonward/Daemon/ControlPlane.cpp
+++ b/Lagoonward/Daemon/ControlPlane.cpp
@@ -1,6 +1,6 @@
 #include "Lagoonward/Daemon/ControlPlane.h"
 
-#include "Lagoonward/Daemon/ConfigurationShare.h"
+#include "Lagoonward/Daemon/ConfigurationState.h"
 
 #include <algorithm>
 
@@ -28,7 +28,7 @@
   this->membership.OnEndpoints([this] { this->PublishFleet(); });
   this->membership.OnState([this](const SharedState& aState) { return this->ApplyState(aState); });
   this->membership.OnPeers([this](const PeerViewPtr& aView) {
-    for (const MarketPtr& market : this->markets.InForce()) {
+    for (const MarketPtr& market : this->markets.ConfiguredMarkets()) {
       market->SetLiveDaemons(static_cast<int>(aView->peers.size()) + 1);
     }
   });
@@ -156,7 +156,7 @@
 {
   for (const MarketStatus& status : this->follower->Status()) {
     if (status.logReachable && status.certain && status.offset == kNoOffset) {
-      this->markets.FindOrAdd(status.market)->MarkEmpty();
+      this->markets.FindOrAdd(status.market)->MarkUnconfigured();
     }
   }
 }
@@ -174,7 +174,7 @@
   std::sort(snapshot->endpoints.begin(), snapshot->endpoints.end(),
             [](const Endpoint& aLeft, const Endpoint& aRight) { return aLeft.id < aRight.id; });
   this->fleet.Publish(snapshot);
-  for (const MarketPtr& market : this->markets.InForce()) {
+  for (const MarketPtr& market : this->markets.ConfiguredMarkets()) {
     market->ApplyFleet(*snapshot);
   }
   this->onFleet(snapshot);
@@ -194,7 +194,7 @@
   endpoint.machineClass = aFact.host.machineClass;
   endpoint.name = aFact.host.name;
   endpoint.state = aFact.state;
-  endpoint.goneAfter = aFact.goneAfter;
+  endpoint.availableUntil = aFact.availableUntil;
   endpoint.load = this->membership.Loads().LoadOf(aFact);
   this->SetPrice(endpoint);
   return endpoint;
--- a/Lagoonward/Daemon/CrashExchange.cpp
+++ b/Lagoonward/Daemon/CrashExchange.cpp
@@ -11,14 +11,14 @@
 
 const Log kLog("poison");
 
-/// Type of the message, a CrashReport; request types above RequestType::FirstForeign belong to this folder.
+/// Type of the message, a CrashReport; request types above RequestType::FirstExternal belong to this folder.
 constexpr auto kCrash =
-  static_cast<RequestType>(static_cast<std::uint16_t>(RequestType::FirstForeign) + 7);
+  static_cast<RequestType>(static_cast<std::uint16_t>(RequestType::FirstExternal) + 7);
 
 } // namespace
 
-CrashExchange::CrashExchange(const CrashExchangeSettings& aSettings, KeeperDirectory& aOwners,
-                             MembershipService& aMembership, PoisonGuard& aPoisonFilter,
+CrashExchange::CrashExchange(const CrashExchangeSettings& aSettings, KeyOwnerDirectory& aOwners,
+                             MembershipService& aMembership, PoisonRequestFilter& aPoisonFilter,
                              const Clock& aClock)
   : settings(aSettings)
   , owners(aOwners)
@@ -27,22 +27,22 @@
   , clock(aClock)
 {
   this->membership.Transport().OnRequest(
-    kCrash, [this](PeerKey, std::string_view aBytes, const PeerTransport::Respond& aRespond) {
+    kCrash, [this](PeerKey, std::string_view aBytes, const PeerTransport::Responder& aRespond) {
       const auto report = DecodeMessage<CrashReport>(aBytes);
       if (report) {
-        this->poisonFilter.OnToldCrash(report.value());
+        this->poisonFilter.OnRemoteCrash(report.value());
       } else {
         kLog.Warning("Received a malformed crash report from a peer; ignored.");
       }
       aRespond(std::string());
     });
-  this->poisonFilter.OnReport([this](const CrashReport& aReport) {
+  this->poisonFilter.SetReportListener([this](const CrashReport& aReport) {
     this->membership.Loop().Post([this, report = aReport] { this->AddCrash(report); });
   });
 }
 
 void
-CrashExchange::OnKeepers()
+CrashExchange::OnKeyOwnersChanged()
 {
   for (ObservedCrash& crash : this->observed) {
     this->NotifyOwners(crash);
@@ -63,7 +63,7 @@
 void
 CrashExchange::NotifyOwners(ObservedCrash& aCrash)
 {
-  for (const PeerAddress& owner : this->owners.OthersFor(aCrash.report.request)) {
+  for (const PeerAddress& owner : this->owners.OtherOwnersOf(aCrash.report.request)) {
     if (std::find(aCrash.notified.begin(), aCrash.notified.end(), owner.key) ==
         aCrash.notified.end()) {
       aCrash.notified.push_back(owner.key);
--- a/Lagoonward/Daemon/CrashExchange.h
+++ b/Lagoonward/Daemon/CrashExchange.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "Lagoonward/Admission/PoisonGuard.h"
-#include "Lagoonward/Membership/KeeperDirectory.h"
+#include "Lagoonward/Admission/PoisonRequestFilter.h"
+#include "Lagoonward/Membership/KeyOwnerDirectory.h"
 #include "Lagoonward/Membership/MembershipService.h"
 
 #include <deque>
@@ -28,12 +28,13 @@
 {
 public:
   /// Must be constructed before the membership starts; references must outlive it.
-  CrashExchange(const CrashExchangeSettings& aSettings, KeeperDirectory& aOwners,
-                MembershipService& aMembership, PoisonGuard& aPoisonFilter, const Clock& aClock);
+  CrashExchange(const CrashExchangeSettings& aSettings, KeyOwnerDirectory& aOwners,
+                MembershipService& aMembership, PoisonRequestFilter& aPoisonFilter,
+                const Clock& aClock);
 
   /// Key ownership may have changed: sends the retained crashes to owners that were not sent them yet. On the control
   /// thread.
-  void OnKeepers();
+  void OnKeyOwnersChanged();
 
 private:
   /// A crash that this daemon observed, and the owners that were sent it.
@@ -50,9 +51,9 @@
                   int aAttemptsLeft);
 
   CrashExchangeSettings settings;
-  KeeperDirectory& owners;
+  KeyOwnerDirectory& owners;
   MembershipService& membership;
-  PoisonGuard& poisonFilter;
+  PoisonRequestFilter& poisonFilter;
   const Clock& clock;
   std::deque<ObservedCrash> observed; ///< Ordered by time, the oldest first.
 };
--- a/Lagoonward/Daemon/Daemon.cpp
+++ b/Lagoonward/Daemon/Daemon.cpp
@@ -126,7 +126,7 @@
     }
     this->poller.Poll(aEndpoint, std::move(aDone));
   };
-  this->keyOwners = std::make_unique<KeeperDirectory>(identity.self, this->clock);
+  this->keyOwners = std::make_unique<KeyOwnerDirectory>(identity.self, this->clock);
   this->membership = &this->kernel.Add(std::make_unique<MembershipService>(
     this->clock, std::move(identity), std::move(aKeys), MembershipSettings{}, poll));
   this->control = &this->kernel.Add(std::make_unique<ControlPlane>(
@@ -204,14 +204,14 @@
   this->requestDirectory->Serve(*this->runs);
   this->runs->SetDirectory(*this->requestDirectory);
   this->demandExchange = std::make_unique<DemandExchange>(
-    DemandExchangeSettings{}, *this->membership, this->markets, this->runs->Poison(),
+    DemandExchangeSettings{}, *this->membership, this->markets, this->runs->PoisonFilter(),
     this->settings.hostId, this->settings.region);
   this->crashExchange =
     std::make_unique<CrashExchange>(CrashExchangeSettings{}, *this->keyOwners, *this->membership,
-                                    this->runs->Poison(), this->clock);
+                                    this->runs->PoisonFilter(), this->clock);
   this->membership->OnPeers([this](const PeerViewPtr& aView) {
     this->keyOwners->OnPeers(*aView);
-    this->crashExchange->OnKeepers();
+    this->crashExchange->OnKeyOwnersChanged();
   });
 }
 
@@ -273,7 +273,7 @@
     return Error(ErrorKind::PlatformUnavailable, "The host list has not been read yet.");
   }
   // While the log is unreachable, peers may have sent the configurations in force
-  if (!this->index->HasRead() && this->markets.InForce().empty()) {
+  if (!this->index->HasRead() && this->markets.ConfiguredMarkets().empty()) {
     return Error(
       ErrorKind::NoConfiguration,
       "The index of markets has not been read yet, and no peer has sent a configuration.");
@@ -288,10 +288,10 @@
   return std::nullopt;
 }
 
-PlatformNews
+PlatformCallbacks
 Daemon::MakePlatformFeed()
 {
-  PlatformNews feed;
+  PlatformCallbacks feed;
   feed.onHosts = [this](std::vector<HostEntry> aHosts) {
     // This daemon's own entry may have another id if --host-id was not given
     std::erase_if(aHosts, [this](const HostEntry& aHost) {
@@ -306,7 +306,7 @@
   feed.onNotices = [this](const std::vector<ReclaimNotice>& aNotices) {
     this->control->OnNotices(aNotices);
   };
-  feed.readsHostList = [this] { return this->membership->ReadsHostList(); };
+  feed.readsHostList = [this] { return this->membership->IsHostListReader(); };
   return feed;
 }
 
--- a/Lagoonward/Daemon/Daemon.h
+++ b/Lagoonward/Daemon/Daemon.h
@@ -54,7 +54,7 @@
   [[nodiscard]] std::vector<ConfigurationPtr> ConfigurationsInForce() const;
   /// Ids of the live daemons, this one included, of all regions or of one. Any thread.
   [[nodiscard]] std::vector<std::string> LiveDaemons(std::string_view aRegion = {}) const;
-  [[nodiscard]] PlatformNews MakePlatformFeed();
+  [[nodiscard]] PlatformCallbacks MakePlatformFeed();
   /// Why the daemon should receive no requests, or nothing if it should.
   [[nodiscard]] std::optional<Error> FindUnreadyReason() const;
 
@@ -74,7 +74,7 @@
   std::unique_ptr<PeerClaimForwarder> claimForwarder;
   std::unique_ptr<PeerRequestDirectory> requestDirectory;
   std::unique_ptr<DemandExchange> demandExchange;
-  std::unique_ptr<KeeperDirectory> keyOwners;
+  std::unique_ptr<KeyOwnerDirectory> keyOwners;
   std::unique_ptr<CrashExchange> crashExchange;
   Kernel kernel;
 
--- a/Lagoonward/Daemon/DemandExchange.cpp
+++ b/Lagoonward/Daemon/DemandExchange.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-/// Type of the message; request types above RequestType::FirstForeign belong to this folder.
+/// Type of the message; request types above RequestType::FirstExternal belong to this folder.
 constexpr auto kDemand =
-  static_cast<RequestType>(static_cast<std::uint16_t>(RequestType::FirstForeign) + 1);
+  static_cast<RequestType>(static_cast<std::uint16_t>(RequestType::FirstExternal) + 1);
 
 struct ClientEntry
 {
@@ -42,7 +42,7 @@
 struct DemandMessage
 {
   std::vector<MarketEntry> markets;
-  std::vector<PoisonNote> poison;
+  std::vector<PoisonVerdict> poison;
 
   template<class Archive>
   void serialize(Archive& aArchive)
@@ -63,7 +63,8 @@
 
 DemandExchange::DemandExchange(const DemandExchangeSettings& aSettings,
                                MembershipService& aMembership, MarketDirectory& aMarkets,
-                               PoisonGuard& aPoison, const std::string& aOwnId, std::string aRegion)
+                               PoisonRequestFilter& aPoison, const std::string& aOwnId,
+                               std::string aRegion)
   : settings(aSettings)
   , membership(aMembership)
   , markets(aMarkets)
@@ -72,7 +73,7 @@
   , region(std::move(aRegion))
 {
   this->membership.Transport().OnRequest(kDemand, [this](PeerKey aSender, std::string_view aBytes,
-                                                         const PeerTransport::Respond& aRespond) {
+                                                         const PeerTransport::Responder& aRespond) {
     this->HandleMessage(aSender, aBytes);
     aRespond(std::string());
   });
@@ -88,11 +89,11 @@
 DemandExchange::SendAll()
 {
   DemandMessage message;
-  message.poison = this->poison.Notes();
-  for (const MarketPtr& market : this->markets.InForce()) {
+  message.poison = this->poison.Verdicts();
+  for (const MarketPtr& market : this->markets.ConfiguredMarkets()) {
     MarketEntry entry;
     entry.market = market->Name();
-    for (const ClientDemand& demand : market->admission.TakeDemand()) {
+    for (const ClientDemand& demand : market->admission.CollectDemand()) {
       entry.clients.push_back(
         { demand.client, demand.tokensPerSecond, demand.running, demand.admittedTotal });
     }
@@ -112,7 +113,7 @@
   if (!message || aSender == this->ownKey) {
     return;
   }
-  this->poison.OnNotes(message->poison);
+  this->poison.OnVerdicts(message->poison);
   for (const MarketEntry& entry : message->markets) {
     const MarketPtr market = this->markets.Find(entry.market);
     if (market == nullptr) {
@@ -125,7 +126,7 @@
           { client.client, client.tokensPerSecond, client.running, client.admittedTotal });
       }
     }
-    market->admission.OnPeer(aSender, demand);
+    market->admission.OnPeerDemand(aSender, demand);
   }
 }
 
--- a/Lagoonward/Daemon/DemandExchange.h
+++ b/Lagoonward/Daemon/DemandExchange.h
@@ -24,7 +24,7 @@
 public:
   /// Must be constructed before the membership starts.
   DemandExchange(const DemandExchangeSettings& aSettings, MembershipService& aMembership,
-                 MarketDirectory& aMarkets, PoisonGuard& aPoison, const std::string& aOwnId,
+                 MarketDirectory& aMarkets, PoisonRequestFilter& aPoison, const std::string& aOwnId,
                  std::string aRegion);
 
   /// Starts to send. On the control thread.
@@ -38,7 +38,7 @@
   DemandExchangeSettings settings;
   MembershipService& membership;
   MarketDirectory& markets;
-  PoisonGuard& poison;
+  PoisonRequestFilter& poison;
   PeerKey ownKey;
   std::string region;
   std::size_t nextPeer =
--- a/Lagoonward/Daemon/EndpointChanges.cpp
+++ b/Lagoonward/Daemon/EndpointChangeLog.cpp
@@ -1,16 +1,16 @@
-#include "Lagoonward/Daemon/EndpointChanges.h"
+#include "Lagoonward/Daemon/EndpointChangeLog.h"
 
 #include <algorithm>
 
 namespace lagoonward {
 
-EndpointChanges::EndpointChanges(Milliseconds aRetention)
+EndpointChangeLog::EndpointChangeLog(Milliseconds aRetention)
   : retention(aRetention)
 {
 }
 
 void
-EndpointChanges::StartAt(std::int64_t aFirstVersion)
+EndpointChangeLog::StartAt(std::int64_t aFirstVersion)
 {
   this->isStarted = true;
   this->firstVersion = aFirstVersion;
@@ -18,7 +18,7 @@
 }
 
 void
-EndpointChanges::Add(const EndpointRecord& aRecord, bool aIsInferred, TimePoint aNow)
+EndpointChangeLog::Add(const EndpointRecord& aRecord, bool aIsInferred, TimePoint aNow)
 {
   if (this->isStarted) {
     this->changes.push_back({ aNow, aIsInferred, aRecord });
@@ -26,7 +26,7 @@
 }
 
 void
-EndpointChanges::DropExpired(TimePoint aNow)
+EndpointChangeLog::DropExpired(TimePoint aNow)
 {
   while (!this->changes.empty() && this->changes.front().addedAt + this->retention < aNow) {
     this->firstVersion = std::max(this->firstVersion, this->changes.front().record.version + 1);
@@ -35,7 +35,7 @@
 }
 
 std::vector<EndpointRecord>
-EndpointChanges::ChangesFrom(std::int64_t aVersion) const
+EndpointChangeLog::ChangesFrom(std::int64_t aVersion) const
 {
   std::vector<EndpointRecord> found;
   for (const Change& change : this->changes) {
--- a/Lagoonward/Daemon/EndpointChanges.h
+++ b/Lagoonward/Daemon/EndpointChangeLog.h
@@ -26,11 +26,11 @@
 
 /// Log of the records that recently changed a snapshot of the endpoints, for daemons that do not have them yet. Not
 /// thread-safe.
-class EndpointChanges
+class EndpointChangeLog
 {
 public:
   /// @param aRetention  how long a change is kept
-  explicit EndpointChanges(Milliseconds aRetention);
+  explicit EndpointChangeLog(Milliseconds aRetention);
 
   /// Empties the log and starts it: from now on all changes of this version and above are added.
   void StartAt(std::int64_t aFirstVersion);
--- a/Lagoonward/Daemon/EndpointNews.cpp
+++ b/Lagoonward/Daemon/EndpointReplicator.cpp
@@ -1,8 +1,8 @@
-#include "Lagoonward/Daemon/EndpointNews.h"
+#include "Lagoonward/Daemon/EndpointReplicator.h"
 
 #include "Lagoonward/Core/Hash.h"
 #include "Lagoonward/Core/Log.h"
-#include "Lagoonward/Daemon/EndpointNewsMessages.h"
+#include "Lagoonward/Daemon/EndpointUpdateMessages.h"
 #include "Lagoonward/Daemon/PeerMessages.h"
 
 #include <algorithm>
@@ -16,9 +16,9 @@
 const Log kLog("endpoints");
 
 /// Request type of an EndpointUpdateMessage, which is answered by an EndpointUpdateReply. Numbers above
-/// RequestType::FirstForeign belong to this folder.
+/// RequestType::FirstExternal belong to this folder.
 constexpr auto kEndpointUpdate =
-  static_cast<RequestType>(static_cast<std::uint16_t>(RequestType::FirstForeign) + 4);
+  static_cast<RequestType>(static_cast<std::uint16_t>(RequestType::FirstExternal) + 4);
 
 /// Ranks that read the source for all daemons: the primary reader, and the standby reader while the primary sends
 /// nothing.
@@ -29,8 +29,9 @@
 
 } // namespace
 
-EndpointNews::EndpointNews(const EndpointNewsSettings& aSettings, MembershipService& aMembership,
-                           PeerInfo aSelf, EndpointNewsHooks aHooks, const Clock& aClock)
+EndpointReplicator::EndpointReplicator(const EndpointReplicatorSettings& aSettings,
+                                       MembershipService& aMembership, PeerInfo aSelf,
+                                       EndpointReplicatorHooks aHooks, const Clock& aClock)
   : settings(aSettings)
   , membership(aMembership)
   , self(std::move(aSelf))
@@ -41,20 +42,20 @@
 {
   this->membership.Transport().OnRequest(
     kEndpointUpdate,
-    [this](PeerKey aSender, std::string_view aBytes, const PeerTransport::Respond& aRespond) {
+    [this](PeerKey aSender, std::string_view aBytes, const PeerTransport::Responder& aRespond) {
       aRespond(this->HandleUpdate(aSender, aBytes));
     });
 }
 
 void
-EndpointNews::Start()
+EndpointReplicator::Start()
 {
   this->UpdatePlan();
   this->membership.Loop().Every(this->settings.tickInterval, [this] { this->Tick(); });
 }
 
 bool
-EndpointNews::HandleRecord(const EndpointRecord& aRecord, bool aFromPeer)
+EndpointReplicator::HandleRecord(const EndpointRecord& aRecord, bool aFromPeer)
 {
   // The same record may arrive from the source and from several daemons, in any order
   const auto [known, isNew] = this->versions.try_emplace(aRecord.id, aRecord.version);
@@ -73,7 +74,7 @@
 }
 
 bool
-EndpointNews::ApplyToDirectory(const EndpointRecord& aRecord, bool aFromPeer)
+EndpointReplicator::ApplyToDirectory(const EndpointRecord& aRecord, bool aFromPeer)
 {
   if (aRecord.removed) {
     const bool isChange = this->directory.OnRemoved(aRecord.id);
@@ -89,7 +90,7 @@
   }
   const bool isLeaving = endpoint.value().state == EndpointState::Leaving;
   const std::string service = endpoint.value().name;
-  const std::int64_t born = endpoint.value().born;
+  const std::int64_t incarnation = endpoint.value().incarnation;
   const bool isReclaimable = endpoint.value().reclaimable;
   if (!this->directory.OnEntry(std::move(endpoint.value()))) {
     return false;
@@ -98,14 +99,14 @@
                            { "version", aRecord.version },
                            { "from_peer", aFromPeer },
                            { "service", service },
-                           { "born", born },
+                           { "born", incarnation },
                            { "leaving", isLeaving },
                            { "reclaimable", isReclaimable } });
   return true;
 }
 
 bool
-EndpointNews::RefuseRecord(const EndpointRecord& aRecord, const std::string& aReason)
+EndpointReplicator::RefuseRecord(const EndpointRecord& aRecord, const std::string& aReason)
 {
   ++this->refusedRecords;
   std::string& last = this->refusalReasons[aRecord.id];
@@ -118,13 +119,14 @@
 }
 
 void
-EndpointNews::OnRecord(const EndpointRecord& aRecord)
+EndpointReplicator::OnRecord(const EndpointRecord& aRecord)
 {
   this->hasUnpublishedChanges = this->HandleRecord(aRecord, false) || this->hasUnpublishedChanges;
 }
 
 void
-EndpointNews::OnFullRead(const std::vector<EndpointRecord>& aRecords, std::int64_t aEndVersion)
+EndpointReplicator::OnFullRead(const std::vector<EndpointRecord>& aRecords,
+                               std::int64_t aEndVersion)
 {
   const FleetSnapshotPtr before = this->directory.Snapshot();
   std::vector<std::string> ids;
@@ -144,7 +146,7 @@
       this->changeLog.Add({ endpoint.id, {}, aEndVersion - 1, true }, true, this->clock.BootNow());
     }
   }
-  this->hasUnpublishedChanges = this->directory.OnWhole(ids) || this->hasUnpublishedChanges;
+  this->hasUnpublishedChanges = this->directory.OnFullRead(ids) || this->hasUnpublishedChanges;
   if (!this->endVersion) {
     // Records received before the first full read were not added to the change log
     std::int64_t firstVersion = aEndVersion;
@@ -159,7 +161,7 @@
 }
 
 void
-EndpointNews::OnReadCompleted(TimePoint aAsOf, std::int64_t aEndVersion)
+EndpointReplicator::OnReadCompleted(TimePoint aAsOf, std::int64_t aEndVersion)
 {
   this->needsRepair = false;
   if (!this->ownReadsAnsweredSince) {
@@ -178,19 +180,19 @@
 }
 
 void
-EndpointNews::AdvanceTo(const AnsweredSpan& aAnswered, std::int64_t aEndVersion)
+EndpointReplicator::AdvanceTo(const AvailabilityInterval& aAnswered, std::int64_t aEndVersion)
 {
   this->endVersion = std::max(this->endVersion.value_or(aEndVersion), aEndVersion);
   this->asOf = std::max(this->asOf.load(), aAnswered.until);
   this->answeredSpan.Add(aAnswered, this->settings.staleAfter);
   const auto suspended =
     this->clock.BootNow().time_since_epoch() - this->clock.Now().time_since_epoch();
-  this->directory.OnSourceSeen(
+  this->directory.AddSourceAvailability(
     { this->answeredSpan.since - suspended, this->answeredSpan.until - suspended });
 }
 
 Milliseconds
-EndpointNews::Age() const
+EndpointReplicator::Age() const
 {
   const TimePoint asOfTime = this->asOf;
   return asOfTime == TimePoint::min()
@@ -199,7 +201,7 @@
 }
 
 void
-EndpointNews::SendUpdates(bool aToOtherGroups)
+EndpointReplicator::SendUpdates(bool aToOtherGroups)
 {
   // Before its first full read a daemon lacks older records, and its snapshot has no age yet
   if (!this->endVersion || this->Age() > kMaximumPlausibleAge) {
@@ -208,13 +210,13 @@
   this->changeLog.DropExpired(this->clock.BootNow());
   // Aggregators of other groups first, as they forward the update
   if (aToOtherGroups) {
-    this->SendUpdatesTo(this->plan.others, true);
+    this->SendUpdatesTo(this->plan.otherAggregators, true);
   }
-  this->SendUpdatesTo(this->plan.members, false);
+  this->SendUpdatesTo(this->plan.groupMembers, false);
 }
 
 void
-EndpointNews::SendUpdatesTo(std::span<const PeerAddress> aReceivers, bool aForwardToGroup)
+EndpointReplicator::SendUpdatesTo(std::span<const PeerAddress> aReceivers, bool aForwardToGroup)
 {
   EndpointUpdateMessage message;
   message.forwardToGroup = aForwardToGroup;
@@ -253,7 +255,7 @@
 }
 
 void
-EndpointNews::OnReply(PeerKey aReceiver, std::string_view aReply)
+EndpointReplicator::OnReply(PeerKey aReceiver, std::string_view aReply)
 {
   const auto reply = DecodePeerMessage<EndpointUpdateReply>(aReply);
   if (reply && reply->hasFullSnapshot) {
@@ -264,7 +266,7 @@
 }
 
 std::string
-EndpointNews::HandleUpdate(PeerKey aSender, std::string_view aBytes)
+EndpointReplicator::HandleUpdate(PeerKey aSender, std::string_view aBytes)
 {
   const auto message = DecodePeerMessage<EndpointUpdateMessage>(aBytes);
   if (!message) {
@@ -298,7 +300,7 @@
 }
 
 void
-EndpointNews::CompareDigest(std::uint64_t aDigest)
+EndpointReplicator::CompareDigest(std::uint64_t aDigest)
 {
   const TimePoint now = this->clock.Now();
   if (aDigest == this->Digest()) {
@@ -319,7 +321,7 @@
 }
 
 std::uint64_t
-EndpointNews::Digest()
+EndpointReplicator::Digest()
 {
   if (!this->digest) {
     std::uint64_t sum = 0;
@@ -333,36 +335,36 @@
 }
 
 void
-EndpointNews::OnSnapshotChanged()
+EndpointReplicator::OnSnapshotChanged()
 {
   this->digest.reset();
   this->hooks.onChanged();
 }
 
 void
-EndpointNews::OnSourceReachability(bool aAnswers)
+EndpointReplicator::OnSourceReachability(bool aAnswers)
 {
   if (!aAnswers) {
     this->ownReadsAnsweredSince.reset();
   }
-  this->directory.OnSource(aAnswers);
+  this->directory.SetSourceAvailable(aAnswers);
 }
 
 bool
-EndpointNews::WatchesSource() const
+EndpointReplicator::WatchesSource() const
 {
   return this->rank < kReaderRanks || !this->IsCurrent();
 }
 
 Milliseconds
-EndpointNews::StalenessLimit() const
+EndpointReplicator::StalenessLimit() const
 {
   const int steps = this->rank < kReaderRanks ? 0 : this->isAggregator ? 1 : 2;
   return this->settings.readerStalenessLimit + this->settings.stalenessLimitStep * steps;
 }
 
 Milliseconds
-EndpointNews::ReadInterval() const
+EndpointReplicator::ReadInterval() const
 {
   if (this->rank == 0) {
     return this->settings.readerInterval;
@@ -382,7 +384,7 @@
 }
 
 void
-EndpointNews::Tick()
+EndpointReplicator::Tick()
 {
   this->UpdatePlan();
   this->PruneRetainedState();
@@ -393,7 +395,7 @@
 }
 
 void
-EndpointNews::LogStaleness()
+EndpointReplicator::LogStaleness()
 {
   if (!this->endVersion) {
     return;
@@ -413,7 +415,7 @@
 }
 
 void
-EndpointNews::UpdatePlan()
+EndpointReplicator::UpdatePlan()
 {
   const PeerViewPtr view = this->membership.Peers();
   if (view == this->planView) {
@@ -423,22 +425,22 @@
   this->plan = MakeAggregationPlan(this->self, true, *view, {});
   this->rank = this->plan.RankOf(this->self.Key());
   this->isAggregator = this->plan.IsAggregator(this->self.Key());
-  this->daemonCount = this->plan.daemons;
+  this->daemonCount = this->plan.daemonCount;
   const auto contains = [](const std::vector<PeerAddress>& aDaemons, PeerKey aKey) {
     return std::any_of(aDaemons.begin(), aDaemons.end(),
                        [&](const PeerAddress& aEach) { return aEach.key == aKey; });
   };
   std::erase_if(this->acknowledgedVersions, [&](const auto& aReceiver) {
-    return !contains(this->plan.members, aReceiver.first) &&
-           !contains(this->plan.others, aReceiver.first);
+    return !contains(this->plan.groupMembers, aReceiver.first) &&
+           !contains(this->plan.otherAggregators, aReceiver.first);
   });
   std::erase_if(this->delays, [&](const auto& aSender) {
-    return !contains(this->plan.candidates, aSender.first);
+    return !contains(this->plan.allAggregators, aSender.first);
   });
 }
 
 void
-EndpointNews::PruneRetainedState()
+EndpointReplicator::PruneRetainedState()
 {
   if (this->refusalReasons.size() > this->settings.maximumRetainedIds) {
     this->refusalReasons.clear();
--- a/Lagoonward/Daemon/EndpointNews.h
+++ b/Lagoonward/Daemon/EndpointReplicator.h
@@ -1,11 +1,11 @@
 #pragma once
 
 #include "Lagoonward/Core/Result.h"
-#include "Lagoonward/Daemon/EndpointChanges.h"
-#include "Lagoonward/Daemon/EndpointNewsSettings.h"
+#include "Lagoonward/Daemon/EndpointChangeLog.h"
+#include "Lagoonward/Daemon/EndpointReplicatorSettings.h"
 #include "Lagoonward/Fleet/EndpointDirectory.h"
 #include "Lagoonward/Membership/AggregationPlan.h"
-#include "Lagoonward/Membership/DelayMeter.h"
+#include "Lagoonward/Membership/DelayEstimator.h"
 #include "Lagoonward/Membership/MembershipService.h"
 
 #include <atomic>
@@ -15,8 +15,8 @@
 
 namespace lagoonward {
 
-/// Functions that the owner of an EndpointNews supplies. Called on the control thread.
-struct EndpointNewsHooks
+/// Functions that the owner of an EndpointReplicator supplies. Called on the control thread.
+struct EndpointReplicatorHooks
 {
   std::function<Result<Endpoint>(const EndpointRecord&)> decode;
   std::function<void()> onChanged; ///< The snapshot of the endpoints has changed.
@@ -30,7 +30,7 @@
 /// the number of reads at the source does not depend on the number of daemons.
 ///
 /// Each snapshot has an age: it contains everything that the source acknowledged before that age. A message carries the
-/// age of its sender's snapshot, and the receiver adds the time in transit (DelayMeter). A daemon whose snapshot
+/// age of its sender's snapshot, and the receiver adds the time in transit (DelayEstimator). A daemon whose snapshot
 /// exceeds its staleness limit reads the source directly; the standby reader has the shortest limit. Messages that
 /// arrive in time but carry an old snapshot do not keep a daemon from reading directly.
 ///
@@ -42,12 +42,12 @@
 ///
 /// Runs on the control thread, except for methods that are documented for any thread. Construct it, which registers the
 /// request handler, before the membership starts.
-class EndpointNews
+class EndpointReplicator
 {
 public:
   /// References must outlive it.
-  EndpointNews(const EndpointNewsSettings& aSettings, MembershipService& aMembership,
-               PeerInfo aSelf, EndpointNewsHooks aHooks, const Clock& aClock);
+  EndpointReplicator(const EndpointReplicatorSettings& aSettings, MembershipService& aMembership,
+                     PeerInfo aSelf, EndpointReplicatorHooks aHooks, const Clock& aClock);
 
   /// Starts the periodic tick.
   void Start();
@@ -103,7 +103,7 @@
   /// @return the encoded reply
   [[nodiscard]] std::string HandleUpdate(PeerKey aSender, std::string_view aBytes);
   /// The snapshot contains all records below a version, as of the end of a span.
-  void AdvanceTo(const AnsweredSpan& aAnswered, std::int64_t aEndVersion);
+  void AdvanceTo(const AvailabilityInterval& aAnswered, std::int64_t aEndVersion);
   void SendUpdates(bool aToOtherGroups);
   void SendUpdatesTo(std::span<const PeerAddress> aReceivers, bool aForwardToGroup);
   void OnReply(PeerKey aReceiver, std::string_view aReply);
@@ -118,24 +118,24 @@
   [[nodiscard]] Milliseconds StalenessLimit() const;
   [[nodiscard]] bool IsCurrent() const { return this->Age() <= this->StalenessLimit(); }
 
-  EndpointNewsSettings settings;
+  EndpointReplicatorSettings settings;
   MembershipService& membership;
   PeerInfo self;
-  EndpointNewsHooks hooks;
+  EndpointReplicatorHooks hooks;
   const Clock& clock;
   EndpointDirectory directory;
   std::unordered_map<std::string, std::int64_t> versions; ///< Newest known version by endpoint id.
-  EndpointChanges changeLog;                              ///< Recent changes to send.
+  EndpointChangeLog changeLog;                            ///< Recent changes to send.
   std::optional<std::int64_t>
     endVersion; ///< The snapshot is complete below this version; empty before the first full read.
   std::atomic<TimePoint> asOf{ TimePoint::min() }; ///< BootNow(); see Age().
   /// BootNow() of the first direct read since one was not answered.
   std::optional<TimePoint> ownReadsAnsweredSince;
-  AnsweredSpan
+  AvailabilityInterval
     answeredSpan; ///< BootNow() times at which the source answered any daemon; see EndpointDirectory.
   std::unordered_map<PeerKey, std::int64_t>
     acknowledgedVersions; ///< Version below which each receiver's snapshot is complete.
-  std::unordered_map<PeerKey, DelayMeter> delays; ///< By sender.
+  std::unordered_map<PeerKey, DelayEstimator> delays; ///< By sender.
   Milliseconds longestStaleAge{ 0 }; ///< Since the snapshot became stale; zero while it is not.
   PeerViewPtr planView;              ///< The view that the plan was computed from.
   AggregationPlan plan;
--- a/Lagoonward/Daemon/EndpointNewsSettings.cpp
+++ b/Lagoonward/Daemon/EndpointReplicatorSettings.cpp
@@ -1,4 +1,4 @@
-#include "Lagoonward/Daemon/EndpointNewsSettings.h"
+#include "Lagoonward/Daemon/EndpointReplicatorSettings.h"
 
 #include <algorithm>
 
@@ -11,10 +11,10 @@
 
 } // namespace
 
-EndpointNewsSettings
+EndpointReplicatorSettings
 EndpointReplicatorSettingsFor(Milliseconds aLeavingNotice)
 {
-  EndpointNewsSettings settings;
+  EndpointReplicatorSettings settings;
   settings.readerInterval = std::clamp(aLeavingNotice / 5, Milliseconds(50), Milliseconds(1000));
   settings.readerStalenessLimit = 2 * settings.readerInterval + kDisseminationDelay;
   settings.stalenessLimitStep = std::min(aLeavingNotice / 14, Milliseconds(400));
--- a/Lagoonward/Daemon/EndpointNewsSettings.h
+++ b/Lagoonward/Daemon/EndpointReplicatorSettings.h
@@ -6,9 +6,9 @@
 
 namespace lagoonward {
 
-/// Tunables of EndpointNews. The defaults are for a leaving endpoint that must be known within two seconds; see
+/// Tunables of EndpointReplicator. The defaults are for a leaving endpoint that must be known within two seconds; see
 /// EndpointReplicatorSettingsFor().
-struct EndpointNewsSettings
+struct EndpointReplicatorSettings
 {
   /// Between two reads of the primary reader. A reclaim may come with a second of notice, so half of that is the upper
   /// bound.
@@ -53,7 +53,7 @@
 /// Intervals and staleness limits for endpoints whose leaving must be known on all daemons within a time. In the worst
 /// case the primary reader dies right after a record was written; then a daemon that receives no updates finds it after
 /// readerStalenessLimit + 2 stalenessLimitStep: a little over half of that time, and a tenth of a second.
-[[nodiscard]] EndpointNewsSettings
+[[nodiscard]] EndpointReplicatorSettings
 EndpointReplicatorSettingsFor(Milliseconds aLeavingNotice);
 
 } // namespace lagoonward
--- a/Lagoonward/Daemon/EndpointNewsMessages.h
+++ b/Lagoonward/Daemon/EndpointUpdateMessages.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "Lagoonward/Daemon/EndpointChanges.h"
+#include "Lagoonward/Daemon/EndpointChangeLog.h"
 
 #include <cstdint>
 #include <vector>
@@ -11,7 +11,7 @@
 struct EndpointUpdateMessage
 {
   bool forwardToGroup = false; ///< Whether the receiver is to send its own update to its group.
-  std::int64_t sentAt = 0;     ///< Milliseconds of the sender's BootNow(), see DelayMeter.
+  std::int64_t sentAt = 0;     ///< Milliseconds of the sender's BootNow(), see DelayEstimator.
   std::int64_t age = 0;        ///< Of the sender's snapshot, in milliseconds.
   std::int64_t answeredFor =
     0; ///< Length of the span up to then in which the source had answered, in milliseconds.
--- a/Lagoonward/Daemon/FleetManager.cpp
+++ b/Lagoonward/Daemon/FleetManager.cpp
@@ -13,7 +13,7 @@
 
 FleetManager::Worker::Worker(const FleetManager& aManager, const std::string& aMarket)
   : market(aMarket)
-  , rankKey(LeaseStream(aMarket, aManager.identity.region))
+  , rankKey(LeaseStreamName(aMarket, aManager.identity.region))
   , log(aManager.identity.logUrl, aManager.settings.platform)
   , lease(aManager.settings, aMarket, aManager.identity.region, aManager.identity.daemonId,
           aManager.identity.incarnation, this->log, aManager.clock)
--- a/Lagoonward/Daemon/FleetManagerSettings.h
+++ b/Lagoonward/Daemon/FleetManagerSettings.h
@@ -13,10 +13,10 @@
   Milliseconds marketInterval{ 1000 }; ///< Between two checks for new markets.
 
   /// Longest wait of one read of a lease stream by a candidate. Bounds how late it renews.
-  Milliseconds leaseWait{ 1000 };
+  Milliseconds leaseReadWait{ 1000 };
 
   /// Between two reads of a lease stream by a daemon whose rank is too high to be a candidate.
-  Milliseconds spectatorPause{ 5000 };
+  Milliseconds nonCandidateReadInterval{ 5000 };
 
   Milliseconds leaseRetryPause{ 500 }; ///< After a read of a lease stream failed.
   Milliseconds leaseIdlePause{ 50 };   ///< After a read without new records.
@@ -32,8 +32,8 @@
   Milliseconds resignTimeout{ 2500 };
 
   /// Time without orders after a daemon becomes the leader, where it has known the fleet for at least
-  /// `placement.settle` less this time. Otherwise it waits until `placement.settle` has passed since it first knew the
-  /// fleet.
+  /// `placement.settleTime` less this time. Otherwise it waits until `placement.settleTime` has passed since it first
+  /// knew the fleet.
   Milliseconds takeoverDelay{ 3000 };
 
   int maximumUnansweredOrders =
--- a/Lagoonward/Daemon/HttpOrderSender.cpp
+++ b/Lagoonward/Daemon/HttpOrderSender.cpp
@@ -30,7 +30,7 @@
   call.method = "POST";
   call.path = "/v1/orders";
   call.body = SerializeOrder(aOrder, aFencing);
-  call.refusal = kOverloaded;
+  call.expectedErrorKind = kOverloaded;
   const auto response = client.Call(call);
   if (!response) {
     return response.error();
--- a/Lagoonward/Daemon/KeeperQuery.cpp
+++ b/Lagoonward/Daemon/KeyOwnerQuery.cpp
@@ -1,13 +1,13 @@
-#include "Lagoonward/Daemon/KeeperQuery.h"
+#include "Lagoonward/Daemon/KeyOwnerQuery.h"
 
 #include <algorithm>
 #include <utility>
 
 namespace lagoonward {
 
-KeeperQuery::KeeperQuery(const KeeperQuerySettings& aSettings, RequestType aType,
-                         KeeperDirectory& aOwners, MembershipService& aMembership,
-                         const Clock& aClock)
+KeyOwnerQuery::KeyOwnerQuery(const KeyOwnerQuerySettings& aSettings, RequestType aType,
+                             KeyOwnerDirectory& aOwners, MembershipService& aMembership,
+                             const Clock& aClock)
   : settings(aSettings)
   , type(aType)
   , owners(aOwners)
@@ -17,7 +17,7 @@
 }
 
 void
-KeeperQuery::Start(KeyOwnerRequest aRequest)
+KeyOwnerQuery::Start(KeyOwnerRequest aRequest)
 {
   auto query = std::make_shared<Query>();
   query->request = std::move(aRequest);
@@ -28,9 +28,9 @@
 }
 
 std::vector<PeerAddress>
-KeeperQuery::OwnersFor(std::uint64_t aKey)
+KeyOwnerQuery::OwnersFor(std::uint64_t aKey)
 {
-  std::vector<PeerAddress> others = this->owners.OthersFor(aKey);
+  std::vector<PeerAddress> others = this->owners.OtherOwnersOf(aKey);
   // The next owner to ask stands at the back
   std::reverse(others.begin(), others.end());
   const TimePoint now = this->clock.Now();
@@ -44,7 +44,7 @@
 }
 
 void
-KeeperQuery::AskNext(const QueryPtr& aQuery)
+KeyOwnerQuery::AskNext(const QueryPtr& aQuery)
 {
   if (aQuery->remaining.empty()) {
     Complete(aQuery);
@@ -67,8 +67,8 @@
 }
 
 void
-KeeperQuery::HandleResponse(const QueryPtr& aQuery, std::uint64_t aAskedCount, PeerKey aOwner,
-                            const Result<std::string>& aResponse)
+KeyOwnerQuery::HandleResponse(const QueryPtr& aQuery, std::uint64_t aAskedCount, PeerKey aOwner,
+                              const Result<std::string>& aResponse)
 {
   const bool isLate = aQuery->askedCount != aAskedCount || !aQuery->isPending;
   const KeyOwnerResponseStatus status = aResponse
@@ -83,7 +83,7 @@
 }
 
 void
-KeeperQuery::SetUnresponsive(PeerKey aOwner, bool aIsUnresponsive)
+KeyOwnerQuery::SetUnresponsive(PeerKey aOwner, bool aIsUnresponsive)
 {
   if (aIsUnresponsive) {
     this->lastFailureAt[aOwner] = this->clock.Now();
@@ -93,7 +93,7 @@
 }
 
 void
-KeeperQuery::Complete(const QueryPtr& aQuery)
+KeyOwnerQuery::Complete(const QueryPtr& aQuery)
 {
   if (std::exchange(aQuery->isPending, false)) {
     aQuery->request.onCompleted();
--- a/Lagoonward/Daemon/KeeperQuery.h
+++ b/Lagoonward/Daemon/KeyOwnerQuery.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "Lagoonward/Membership/KeeperDirectory.h"
+#include "Lagoonward/Membership/KeyOwnerDirectory.h"
 #include "Lagoonward/Membership/MembershipService.h"
 
 #include <functional>
@@ -13,7 +13,7 @@
 namespace lagoonward {
 
 /// Tunables of queries to key owners.
-struct KeeperQuerySettings
+struct KeyOwnerQuerySettings
 {
   /// Wait for one owner's response before the next owner is asked: some ten times a round trip between failure domains.
   Milliseconds fallbackDelay{ 150 };
@@ -50,12 +50,12 @@
 
 /// Asks the owners of a key, the primary first. The backup is asked where the primary's response does not complete the
 /// query, or does not arrive in time.
-class KeeperQuery
+class KeyOwnerQuery
 {
 public:
   /// References must outlive it.
-  KeeperQuery(const KeeperQuerySettings& aSettings, RequestType aType, KeeperDirectory& aOwners,
-              MembershipService& aMembership, const Clock& aClock);
+  KeyOwnerQuery(const KeyOwnerQuerySettings& aSettings, RequestType aType,
+                KeyOwnerDirectory& aOwners, MembershipService& aMembership, const Clock& aClock);
 
   /// Starts a query. Any thread.
   void Start(KeyOwnerRequest aRequest);
@@ -79,9 +79,9 @@
   void SetUnresponsive(PeerKey aOwner, bool aIsUnresponsive);
   static void Complete(const QueryPtr& aQuery);
 
-  KeeperQuerySettings settings;
+  KeyOwnerQuerySettings settings;
   RequestType type;
-  KeeperDirectory& owners;
+  KeyOwnerDirectory& owners;
   MembershipService& membership;
   const Clock& clock;
   std::unordered_map<PeerKey, TimePoint>
--- a/Lagoonward/Daemon/DutyService.cpp
+++ b/Lagoonward/Daemon/LeaderTaskService.cpp
@@ -1,4 +1,4 @@
-#include "Lagoonward/Daemon/DutyService.h"
+#include "Lagoonward/Daemon/LeaderTaskService.h"
 
 #include "Lagoonward/Core/Log.h"
 
@@ -12,51 +12,54 @@
 
 } // namespace
 
-DutyService::DutyService(DutySettings aSettings, DutyFacts aFacts, DutyPorts aPorts,
-                         const UsageCounter& aUsage, const Clock& aClock)
+LeaderTaskService::LeaderTaskService(LeaderTaskSettings aSettings, LeaderTaskInputs aInputs,
+                                     LeaderTaskPorts aPorts, const UsageCounter& aUsage,
+                                     const Clock& aClock)
   : settings(aSettings)
-  , facts(std::move(aFacts))
+  , inputs(std::move(aInputs))
   , ports(std::move(aPorts))
   , clock(aClock)
-  , lease(this->settings.lease, std::string(kLeaseName), this->facts.region, this->facts.self,
-          this->facts.incarnation, *this->ports.leaseLog, aClock)
+  , lease(this->settings.lease, std::string(kLeaseName), this->inputs.region, this->inputs.self,
+          this->inputs.incarnation, *this->ports.leaseLog, aClock)
   , usage(MakeUsagePorts(), aUsage)
 {
 }
 
-DutyService::~DutyService()
+LeaderTaskService::~LeaderTaskService()
 {
   this->Stop();
 }
 
 UsageReporterPorts
-DutyService::MakeUsagePorts()
+LeaderTaskService::MakeUsagePorts()
 {
   UsageReporterPorts reporterPorts;
   reporterPorts.log = this->ports.usageLog;
-  reporterPorts.stream = "usage/" + this->facts.region;
+  reporterPorts.stream = "usage/" + this->inputs.region;
   reporterPorts.page = this->settings.lease.leasePage;
   reporterPorts.report = this->ports.reportUsage;
-  reporterPorts.mayAct = [this] { return this->AuthorizedFencing(); };
+  reporterPorts.fencingIfLeader = [this] { return this->AuthorizedFencing(); };
   reporterPorts.onRefused = [this](Offset aFencing) { this->OnStaleFencing(aFencing); };
   reporterPorts.countsOf = [this](std::int64_t aWindow) {
-    return this->facts.load->UsageInWindow(aWindow);
+    return this->inputs.load->UsageInWindow(aWindow);
   };
   reporterPorts.isDue = [this](Milliseconds aSince) {
-    return this->facts.load->IsUsageReportable(aSince);
+    return this->inputs.load->IsUsageReportable(aSince);
+  };
+  reporterPorts.expireBefore = [this](std::int64_t aBefore) {
+    this->inputs.load->ExpireUsage(aBefore);
   };
-  reporterPorts.forget = [this](std::int64_t aBefore) { this->facts.load->ExpireUsage(aBefore); };
   return reporterPorts;
 }
 
 std::string_view
-DutyService::Name() const
+LeaderTaskService::Name() const
 {
   return kName;
 }
 
 Result<void>
-DutyService::Start()
+LeaderTaskService::Start()
 {
   this->leaseThread = std::thread([this] { this->RunLease(); });
   this->taskThread = std::thread([this] { this->RunTasks(); });
@@ -64,13 +67,13 @@
 }
 
 void
-DutyService::Drain()
+LeaderTaskService::Drain()
 {
   this->lease.Resign();
 }
 
 void
-DutyService::Stop()
+LeaderTaskService::Stop()
 {
   {
     const std::lock_guard lock(this->mutex);
@@ -87,31 +90,31 @@
 }
 
 bool
-DutyService::Pause(Milliseconds aSpan)
+LeaderTaskService::Pause(Milliseconds aSpan)
 {
   std::unique_lock lock(this->mutex);
   return !this->stopped.wait_for(lock, aSpan, [this] { return this->stopping; });
 }
 
 LeaderAnnouncement
-DutyService::OwnTenure() const
+LeaderTaskService::OwnAnnouncement() const
 {
   const LeaseStatus status = this->lease.Status();
-  return status.held ? LeaderAnnouncement{ this->facts.self, status.fencing, 0 }
+  return status.held ? LeaderAnnouncement{ this->inputs.self, status.fencing, 0 }
                      : LeaderAnnouncement{};
 }
 
 void
-DutyService::RunLease()
+LeaderTaskService::RunLease()
 {
   if (!this->Pause(this->settings.electionDelay)) {
     return;
   }
   for (;;) {
-    const LeaderAnnouncement announced = this->facts.load->Leader();
-    const bool isOtherLeader = !announced.id.empty() && announced.id != this->facts.self;
+    const LeaderAnnouncement announced = this->inputs.load->Leader();
+    const bool isOtherLeader = !announced.id.empty() && announced.id != this->inputs.self;
     const Milliseconds pause = this->lease.Step(
-      this->facts.load->ElectionRank(), isOtherLeader ? Offset{ announced.fencing } : kNoOffset);
+      this->inputs.load->ElectionRank(), isOtherLeader ? Offset{ announced.fencing } : kNoOffset);
     if (!this->Pause(pause)) {
       return;
     }
@@ -119,11 +122,11 @@
 }
 
 void
-DutyService::RunTasks()
+LeaderTaskService::RunTasks()
 {
   while (this->Pause(this->settings.interval)) {
     // Every candidate tracks the load, not only the leader, so that a successor knows its peak
-    const RelayConfigurationPtr configuration = this->facts.inForce();
+    const RelayConfigurationPtr configuration = this->inputs.activeConfiguration();
     if (configuration == nullptr) {
       continue;
     }
@@ -133,10 +136,10 @@
 }
 
 std::optional<Offset>
-DutyService::AuthorizedFencing() const
+LeaderTaskService::AuthorizedFencing() const
 {
   const TimePoint now = this->clock.BootNow();
-  if (now < this->lease.OtherLeaderSeenAt() + this->settings.quiet ||
+  if (now < this->lease.OtherLeaderSeenAt() + this->settings.quietPeriod ||
       now < this->ordersPausedUntil) {
     return std::nullopt;
   }
@@ -149,7 +152,7 @@
 }
 
 void
-DutyService::OnStaleFencing(Offset aFencing)
+LeaderTaskService::OnStaleFencing(Offset aFencing)
 {
   kLog.Event(LogLevel::Warning, "refused_as_stale", { { "fencing", aFencing } });
   this->ordersPausedUntil = this->clock.BootNow() + this->settings.staleFencingPause;
@@ -157,10 +160,10 @@
 }
 
 std::map<std::string, DomainCount>
-DutyService::CountLive(const std::string& aService) const
+LeaderTaskService::CountLive(const std::string& aService) const
 {
   std::map<std::string, DomainCount> live;
-  const FleetSnapshotPtr fleet = this->facts.fleet->Get();
+  const FleetSnapshotPtr fleet = this->inputs.fleet->Get();
   for (const Endpoint& endpoint : fleet->endpoints) {
     if (endpoint.name != aService || endpoint.state != EndpointState::Live) {
       continue;
@@ -172,10 +175,10 @@
 }
 
 void
-DutyService::ScaleServices()
+LeaderTaskService::ScaleServices()
 {
-  const RelayConfigurationPtr configuration = this->facts.inForce();
-  for (const RelayServiceFacts& service : configuration->services) {
+  const RelayConfigurationPtr configuration = this->inputs.activeConfiguration();
+  for (const RelayServiceConfiguration& service : configuration->services) {
     if (service.scaling) {
       this->ScaleService(service);
     }
@@ -183,9 +186,9 @@
 }
 
 double
-DutyService::PrefillRate(const std::string& aService) const
+LeaderTaskService::PrefillRate(const std::string& aService) const
 {
-  for (const SpeedReport& report : this->facts.router->SpeedsInUse()) {
+  for (const SpeedReport& report : this->inputs.router->SpeedsInUse()) {
     if (report.machineClass == aService) {
       return 1 / report.prefillSecondsPerToken;
     }
@@ -194,7 +197,7 @@
 }
 
 void
-DutyService::ScaleService(const RelayServiceFacts& aService)
+LeaderTaskService::ScaleService(const RelayServiceConfiguration& aService)
 {
   auto known = this->sizings.find(aService.name);
   if (known == this->sizings.end()) {
@@ -202,13 +205,13 @@
       this->sizings.emplace(aService.name, DemandSizing(this->settings.sizing, this->clock)).first;
   }
   DemandSizing& sizing = known->second;
-  const EngineWork rate = this->facts.load->RateOf(aService.name);
+  const EngineWork rate = this->inputs.load->RateOf(aService.name);
   // Until the endpoints' speed is known, the existing fleet counts as the need
-  if (const auto load = this->facts.router->EndpointSeconds(aService.name, rate)) {
+  if (const auto load = this->inputs.router->EndpointSeconds(aService.name, rate)) {
     sizing.OnLoad(*load);
   }
-  const SizingTerms terms{ aService.scaling->minimum, aService.scaling->maximum,
-                           aService.scaling->bootTime, aService.scaling->prices };
+  const SizingConstraints terms{ aService.scaling->minimum, aService.scaling->maximum,
+                                 aService.scaling->bootTime, aService.scaling->prices };
   const auto live = this->CountLive(aService.name);
   for (const SizingOrder& order : sizing.Plan(terms, live)) {
     const auto fencing = this->AuthorizedFencing();
@@ -221,7 +224,7 @@
                  { "failure_domain", order.failureDomain },
                  { "reclaimable", order.reclaimable },
                  { "count", order.count },
-                 { "need", sizing.Need() },
+                 { "need", sizing.RequiredEndpoints() },
                  { "prompt_tokens_per_s", this->PrefillRate(aService.name) },
                  { "fencing", *fencing },
                  { "outcome", outcome ? "accepted" : GetErrorRule(outcome.error().kind).name } });
--- a/Lagoonward/Daemon/DutyService.h
+++ b/Lagoonward/Daemon/LeaderTaskService.h
@@ -19,7 +19,7 @@
 
 /// External services that the leader tasks call. Calls block. Errors: StaleFencing when the callee has seen a higher
 /// fencing number, NoEndpoint when no endpoint is available now, PlatformUnavailable when no response came.
-struct DutyPorts
+struct LeaderTaskPorts
 {
   LogService* leaseLog = nullptr; ///< Used by the lease thread only.
   LogService* usageLog = nullptr; ///< Used by the task thread only.
@@ -29,7 +29,7 @@
 };
 
 /// Tunables of the leader tasks.
-struct DutySettings
+struct LeaderTaskSettings
 {
   FleetManagerSettings lease;   ///< Only its members for following the lease are used.
   Milliseconds interval{ 250 }; ///< Between two runs of the tasks.
@@ -37,7 +37,7 @@
     1500
   }; ///< From the start to the first read of the lease. By then a daemon knows its
      ///< peers, so that of daemons that start together only a few are candidates.
-  Milliseconds quiet{
+  Milliseconds quietPeriod{
     3500
   }; ///< From the last observation of another leader to the first own order.
   Milliseconds staleFencingPause{
@@ -47,12 +47,12 @@
 };
 
 /// Inputs of the leader tasks from the rest of the daemon. All may be called from any thread.
-struct DutyFacts
+struct LeaderTaskInputs
 {
   std::string self; ///< This daemon's id.
   std::string region;
   std::string incarnation;
-  std::function<RelayConfigurationPtr()> inForce;
+  std::function<RelayConfigurationPtr()> activeConfiguration;
   const FleetStore* fleet = nullptr;
   Router* router = nullptr;     ///< Source of the endpoints' measured speed.
   LoadExchange* load = nullptr; ///< Source of usage and load over all daemons.
@@ -60,18 +60,18 @@
 
 /// Runs the leader tasks, which one daemon at a time does for the deployment: reporting usage and ordering endpoints.
 /// The daemon that holds the lease acts. All daemons that may lead receive the counts of all daemons (LoadExchange), so
-/// that a successor has them too. After another daemon has led, a new leader sends no order for `quiet`, so that orders
-/// never alternate between daemons within the time in which the platform forbids it. Has one thread for the lease and
-/// one for the tasks.
-class DutyService final : public Service
+/// that a successor has them too. After another daemon has led, a new leader sends no order for `quietPeriod`, so that
+/// orders never alternate between daemons within the time in which the platform forbids it. Has one thread for the
+/// lease and one for the tasks.
+class LeaderTaskService final : public Service
 {
 public:
   static constexpr std::string_view kName = "duties";
 
   /// References must outlive it.
-  DutyService(DutySettings aSettings, DutyFacts aFacts, DutyPorts aPorts,
-              const UsageCounter& aUsage, const Clock& aClock);
-  ~DutyService() override;
+  LeaderTaskService(LeaderTaskSettings aSettings, LeaderTaskInputs aInputs, LeaderTaskPorts aPorts,
+                    const UsageCounter& aUsage, const Clock& aClock);
+  ~LeaderTaskService() override;
 
   [[nodiscard]] std::string_view Name() const override;
   [[nodiscard]] Result<void> Start() override;
@@ -80,10 +80,10 @@
   void Stop() override;
 
   /// Whether this daemon holds the lease. Any thread.
-  [[nodiscard]] bool Leads() const { return this->lease.Status().held; }
+  [[nodiscard]] bool IsLeader() const { return this->lease.Status().held; }
 
   /// This daemon while it holds the lease, else an empty announcement. Any thread.
-  [[nodiscard]] LeaderAnnouncement OwnTenure() const;
+  [[nodiscard]] LeaderAnnouncement OwnAnnouncement() const;
 
 private:
   void RunLease();
@@ -95,15 +95,15 @@
 
   [[nodiscard]] UsageReporterPorts MakeUsagePorts();
   void ScaleServices();
-  void ScaleService(const RelayServiceFacts& aService);
+  void ScaleService(const RelayServiceConfiguration& aService);
   /// Prompt tokens per second that an endpoint of the service processes, as the router estimates it; zero while
   /// unknown. For logs.
   [[nodiscard]] double PrefillRate(const std::string& aService) const;
   [[nodiscard]] std::map<std::string, DomainCount> CountLive(const std::string& aService) const;
 
-  DutySettings settings;
-  DutyFacts facts;
-  DutyPorts ports;
+  LeaderTaskSettings settings;
+  LeaderTaskInputs inputs;
+  LeaderTaskPorts ports;
   const Clock& clock;
   LeaseFollower lease;
 
