--- a/Lagoonward/Daemon/LeaseFollower.cpp
+++ b/Lagoonward/Daemon/LeaseFollower.cpp
@@ -15,13 +15,13 @@
                              std::string aIncarnation, LogService& aLog, const Clock& aClock)
   : settings(aSettings)
   , market(std::move(aMarket))
-  , stream(LeaseStream(this->market, aRegion))
+  , stream(LeaseStreamName(this->market, aRegion))
   , daemonId(std::move(aDaemonId))
   , incarnation(std::move(aIncarnation))
   , log(aLog)
   , clock(aClock)
   , leaseManager(
-      std::make_unique<LeaseKeeper>(aSettings.lease, aClock, this->daemonId, this->incarnation))
+      std::make_unique<LeaseManager>(aSettings.lease, aClock, this->daemonId, this->incarnation))
   , otherLeaderSeenAt(aClock.BootNow())
 {
 }
@@ -54,7 +54,7 @@
 
   const bool blocks = isCandidate && !this->mustRead;
   const auto page = this->log.Read(this->stream, next, this->settings.leasePage,
-                                   blocks ? this->settings.leaseWait : Milliseconds(0));
+                                   blocks ? this->settings.leaseReadWait : Milliseconds(0));
   if (page.has_value() != this->logResponds) {
     this->logResponds = page.has_value();
     kLog.Warning("Market {}: the log {} to reads of the lease stream.", this->market,
@@ -79,7 +79,7 @@
   if (record || !page.value().records.empty()) {
     return Milliseconds(0);
   }
-  return isCandidate ? this->settings.leaseIdlePause : this->settings.spectatorPause;
+  return isCandidate ? this->settings.leaseIdlePause : this->settings.nonCandidateReadInterval;
 }
 
 bool
@@ -141,14 +141,14 @@
   }
 }
 
-/// Begins a new candidacy. A LeaseKeeper that has resigned is no candidate any more, so a new one replaces it.
+/// Begins a new candidacy. A LeaseManager that has resigned is no candidate any more, so a new one replaces it.
 void
 LeaseFollower::RestartCandidacy()
 {
   this->abandoning = false;
   ++this->candidacies;
-  this->leaseManager = std::make_unique<LeaseKeeper>(this->settings.lease, this->clock,
-                                                     this->daemonId, this->IncarnationName());
+  this->leaseManager = std::make_unique<LeaseManager>(this->settings.lease, this->clock,
+                                                      this->daemonId, this->IncarnationName());
 }
 
 std::string
--- a/Lagoonward/Daemon/LeaseFollower.h
+++ b/Lagoonward/Daemon/LeaseFollower.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "Lagoonward/Daemon/FleetManagerSettings.h"
-#include "Lagoonward/Leadership/LeaseKeeper.h"
+#include "Lagoonward/Leadership/LeaseManager.h"
 
 #include <memory>
 #include <mutex>
@@ -18,7 +18,7 @@
   Offset fencing = kNoOffset; ///< Of the current tenure.
 };
 
-/// Takes part in the election of one market's leader: reads the lease stream, appends the records that the LeaseKeeper
+/// Takes part in the election of one market's leader: reads the lease stream, appends the records that the LeaseManager
 /// requests, and logs each change of leader. Step() is called in a loop by one thread, which is not the one that sends
 /// orders, so that slow orders do not delay a renewal. The other methods are thread-safe.
 class LeaseFollower
@@ -38,7 +38,7 @@
   /// @return how long to wait before the next step
   [[nodiscard]] Milliseconds Step(int aRank, Offset aAnnouncedFencing = kNoOffset);
 
-  /// See LeaseKeeper::Authorize().
+  /// See LeaseManager::Authorize().
   [[nodiscard]] Result<OrderGrant> Authorize(OrderKind aKind, bool aChecksFencing) const;
 
   /// Resigns the lease and is no candidate again, for a drain.
@@ -81,7 +81,7 @@
 
   mutable std::mutex mutex; ///< Guards all members below.
   int candidacies = 0;      ///< Number of candidacies begun after an abandoned tenure.
-  std::unique_ptr<LeaseKeeper> leaseManager;
+  std::unique_ptr<LeaseManager> leaseManager;
   LeaseLedger ledger; ///< Reads the same stream to determine the current tenure.
   TimePoint otherLeaderSeenAt;
   bool resigned = false;
--- /dev/null
+++ b/Lagoonward/Daemon/LimitTokenExchange.cpp
@@ -0,0 +1,144 @@
+#include "Lagoonward/Daemon/LimitTokenExchange.h"
+
+#include "Lagoonward/Core/Log.h"
+#include "Lagoonward/Membership/WireCodec.h"
+
+#include <cmath>
+
+namespace lagoonward {
+
+namespace {
+
+const Log kLog("limits");
+
+/// Type of the message, a TokenRequestMessage whose response is a TokenGrantReply; request types above
+/// RequestType::FirstExternal belong to this folder.
+constexpr auto kTokenRequest =
+  static_cast<RequestType>(static_cast<std::uint16_t>(RequestType::FirstExternal) + 6);
+
+struct TokenRequestMessage
+{
+  LimitTokenRequest request;
+
+  template<class Archive>
+  void serialize(Archive& aArchive)
+  {
+    aArchive(this->request.client, this->request.neededTokens, this->request.preferredTokens);
+  }
+};
+
+struct TokenGrantReply
+{
+  LimitTokenGrant grant;
+
+  template<class Archive>
+  void serialize(Archive& aArchive)
+  {
+    aArchive(this->grant.tokens, this->grant.retryAfterSeconds);
+  }
+};
+
+/// Whether an amount of tokens or seconds is finite and not negative.
+bool
+IsPlausible(double aAmount)
+{
+  return std::isfinite(aAmount) && aAmount >= 0;
+}
+
+} // namespace
+
+ReserveRole
+ReserveRoleOf(KeyOwnerDirectory& aOwners, std::uint64_t aKey)
+{
+  switch (aOwners.RoleOf(aKey)) {
+    case KeyOwnerRole::Primary:
+      return ReserveRole::Primary;
+    case KeyOwnerRole::Backup:
+      return ReserveRole::Backup;
+    case KeyOwnerRole::None:
+      break;
+  }
+  return ReserveRole::None;
+}
+
+LimitTokenExchange::LimitTokenExchange(const KeyOwnerQuerySettings& aSettings,
+                                       KeyOwnerDirectory& aOwners, MembershipService& aMembership,
+                                       Admission& aAdmission, const Clock& aClock)
+  : owners(aOwners)
+  , admission(aAdmission)
+  , query(aSettings, kTokenRequest, aOwners, aMembership, aClock)
+{
+  aMembership.Transport().OnRequest(
+    kTokenRequest,
+    [this](PeerKey, std::string_view aBytes, const PeerTransport::Responder& aRespond) {
+      aRespond(this->HandleRequest(aBytes));
+    });
+}
+
+void
+LimitTokenExchange::OnKeyOwnersChanged()
+{
+  this->admission.SetReserveRoles(
+    [this](std::uint64_t aClient) { return ReserveRoleOf(this->owners, aClient); });
+}
+
+std::string
+LimitTokenExchange::HandleRequest(std::string_view aBytes)
+{
+  const auto message = DecodeMessage<TokenRequestMessage>(aBytes);
+  const bool isValid = message.has_value() && IsPlausible(message.value().request.neededTokens) &&
+                       IsPlausible(message.value().request.preferredTokens);
+  if (!isValid) {
+    kLog.Warning("Received a malformed token request from a peer; answers without a grant.");
+    return EncodeMessage(TokenGrantReply{});
+  }
+  return EncodeMessage(TokenGrantReply{ this->admission.GrantTokens(message.value().request) });
+}
+
+void
+LimitTokenExchange::RequestTokens(const LimitTokenRequest& aRequest, std::function<void()> aSettled)
+{
+  const auto progress = std::make_shared<Progress>();
+  KeyOwnerRequest ownerRequest;
+  ownerRequest.key = aRequest.client;
+  ownerRequest.message = EncodeMessage(TokenRequestMessage{ aRequest });
+  ownerRequest.onResponse = [this, progress, request = aRequest](std::string_view aResponse,
+                                                                 bool aIsLate) {
+    return this->HandleReply(request, *progress, aResponse, aIsLate);
+  };
+  ownerRequest.onCompleted = [this, progress, request = aRequest, settled = std::move(aSettled)] {
+    if (!progress->isGranted && !progress->isRefused) {
+      this->admission.OnTokenGrant(request, std::nullopt);
+      kLog.Event(LogLevel::Warning, "loan_unanswered",
+                 { { "account", request.account }, { "tokens", request.neededTokens } });
+    }
+    settled();
+  };
+  this->query.Start(std::move(ownerRequest));
+}
+
+KeyOwnerResponseStatus
+LimitTokenExchange::HandleReply(const LimitTokenRequest& aRequest, Progress& aProgress,
+                                std::string_view aResponse, bool aIsLate)
+{
+  const auto reply = DecodeMessage<TokenGrantReply>(aResponse);
+  const bool isValid = reply.has_value() && IsPlausible(reply.value().grant.tokens) &&
+                       IsPlausible(reply.value().grant.retryAfterSeconds);
+  if (!isValid) {
+    return KeyOwnerResponseStatus::Malformed;
+  }
+  const LimitTokenGrant& grant = reply.value().grant;
+  if (grant.tokens > 0) {
+    aProgress.isGranted = true;
+    this->admission.OnTokenGrant(aRequest, grant);
+    return KeyOwnerResponseStatus::Completed;
+  }
+  // A wait of zero is no refusal: in its own membership view that daemon owns no reserve
+  if (grant.retryAfterSeconds > 0 && !aIsLate) {
+    aProgress.isRefused = true;
+    this->admission.OnTokenGrant(aRequest, grant);
+  }
+  return KeyOwnerResponseStatus::AskNext;
+}
+
+} // namespace lagoonward
--- a/Lagoonward/Daemon/LoadExchange.cpp
+++ b/Lagoonward/Daemon/LoadExchange.cpp
@@ -10,31 +10,32 @@
 
 const Log kLog("load");
 
-/// Types of the messages; request types above RequestType::FirstForeign belong to this folder.
+/// Types of the messages; request types above RequestType::FirstExternal belong to this folder.
 constexpr auto kMemberReport =
-  static_cast<RequestType>(static_cast<std::uint16_t>(RequestType::FirstForeign) + 3);
+  static_cast<RequestType>(static_cast<std::uint16_t>(RequestType::FirstExternal) + 3);
 constexpr auto kGroupReport =
-  static_cast<RequestType>(static_cast<std::uint16_t>(RequestType::FirstForeign) + 5);
+  static_cast<RequestType>(static_cast<std::uint16_t>(RequestType::FirstExternal) + 5);
 
 } // namespace
 
-LoadExchange::LoadExchange(const LoadExchangeSettings& aSettings, LoadExchangeFacts aFacts,
+LoadExchange::LoadExchange(const LoadExchangeSettings& aSettings, LoadExchangeInputs aInputs,
                            MembershipService& aMembership, const Clock& aClock)
   : settings(aSettings)
-  , facts(std::move(aFacts))
+  , inputs(std::move(aInputs))
   , membership(aMembership)
   , clock(aClock)
-  , ownKey(this->facts.self.Key())
+  , ownKey(this->inputs.self.Key())
   , sumAppliedAt(aClock.Now())
-  , loadTable(this->settings.loadTable, this->facts.run, aClock)
+  , loadTable(this->settings.loadTable, this->inputs.run, aClock)
 {
   this->membership.Transport().OnRequest(
     kMemberReport,
-    [this](PeerKey, std::string_view aBytes, const PeerTransport::Respond& aRespond) {
+    [this](PeerKey, std::string_view aBytes, const PeerTransport::Responder& aRespond) {
       aRespond(this->HandleMemberReport(aBytes));
     });
   this->membership.Transport().OnRequest(
-    kGroupReport, [this](PeerKey, std::string_view aBytes, const PeerTransport::Respond& aRespond) {
+    kGroupReport,
+    [this](PeerKey, std::string_view aBytes, const PeerTransport::Responder& aRespond) {
       this->HandleGroupReport(aBytes);
       aRespond(std::string());
     });
@@ -107,7 +108,7 @@
 Milliseconds
 LoadExchange::Interval() const
 {
-  const auto members = static_cast<std::int64_t>(this->plan.members.size()) + 1;
+  const auto members = static_cast<std::int64_t>(this->plan.groupMembers.size()) + 1;
   return std::max(this->settings.interval, this->settings.intervalPerMember * members);
 }
 
@@ -121,7 +122,7 @@
   }
   this->plannedView = view;
   this->planOutdated = false;
-  this->plan = MakeAggregationPlan(this->facts.self, !this->draining, *view, this->settings.plan);
+  this->plan = MakeAggregationPlan(this->inputs.self, !this->draining, *view, this->settings.plan);
   this->loadTable.SetGroup(this->plan.group);
 }
 
@@ -137,7 +138,7 @@
   }
   MemberReport report = this->MakeMemberReport();
   this->SendToAggregators(report);
-  if (this->plan.IsFirst(this->ownKey)) {
+  if (this->plan.IsPrimaryAggregator(this->ownKey)) {
     this->SendToGroups();
   }
   this->membership.Loop().After(this->Interval(), [this] { this->SendReports(); });
@@ -147,23 +148,23 @@
 LoadExchange::MakeMemberReport()
 {
   MemberReport report;
-  report.run = this->facts.run;
+  report.run = this->inputs.run;
   report.group = this->plan.group;
   report.hasUsage = this->reportsUsage;
   if (this->reportsUsage) {
-    report.usage = this->facts.usage();
+    report.usage = this->inputs.usage();
   }
-  for (const EndpointCount& count : this->facts.market->router.OwnInFlight()) {
+  for (const EndpointInFlightCount& count : this->inputs.market->router.OwnInFlight()) {
     report.inFlight.emplace_back(count.endpointKey, count.count);
   }
-  report.demand = this->facts.market->admission.TakeDemand();
+  report.demand = this->inputs.market->admission.CollectDemand();
   // Most daemons receive no requests of most accounts
   std::erase_if(report.demand, [](const ClientDemand& aEach) {
     return aEach.admittedTotal <= 0 && aEach.running == 0 && aEach.tokensPerSecond <= 0;
   });
-  report.speeds = this->facts.market->router.LearnedSpeeds();
-  report.leader = this->facts.leader();
-  report.poison = this->facts.market->poison.Notes();
+  report.speeds = this->inputs.market->router.LearnedSpeeds();
+  report.leader = this->inputs.leader();
+  report.poison = this->inputs.market->poison.Verdicts();
   const std::lock_guard lock(this->mutex);
   report.work = this->sentWork;
   return report;
@@ -175,16 +176,16 @@
   // Its own report counts at once, also where this daemon leads without being an aggregator
   {
     const std::lock_guard lock(this->mutex);
-    this->loadTable.OnMember(aReport);
+    this->loadTable.OnMemberReport(aReport);
   }
   // The first aggregator sends the sum; the next one is asked, too, where the first has sent none for a while
   const bool isSumOverdue = this->clock.Now() - this->sumAppliedAt > this->settings.sumTimeout;
   bool wantsSum = true;
-  if (this->plan.IsFirst(this->ownKey)) {
-    this->ApplySum(this->SumFor(this->facts.run));
+  if (this->plan.IsPrimaryAggregator(this->ownKey)) {
+    this->ApplySum(this->SumFor(this->inputs.run));
     wantsSum = false;
   }
-  std::vector<PeerAddress> receivers = this->plan.own;
+  std::vector<PeerAddress> receivers = this->plan.ownAggregators;
   if (const auto leader = this->LeaderOutsideAggregators()) {
     receivers.push_back(*leader);
   }
@@ -216,7 +217,7 @@
   }
   const PeerKey key = ToPeerKey(leader.id);
   const auto rank = static_cast<std::size_t>(this->plan.RankOf(key));
-  if (leader.id.empty() || key == this->ownKey || rank < this->plan.candidates.size()) {
+  if (leader.id.empty() || key == this->ownKey || rank < this->plan.allAggregators.size()) {
     return std::nullopt;
   }
   return this->membership.AddressOf(key);
@@ -228,11 +229,11 @@
   GroupReport report;
   {
     const std::lock_guard lock(this->mutex);
-    report = this->loadTable.GroupSum(this->reportsUsage);
+    report = this->loadTable.MakeGroupReport(this->reportsUsage);
   }
-  report.poison = this->facts.market->poison.Notes();
+  report.poison = this->inputs.market->poison.Verdicts();
   const std::string bytes = EncodeMessage(report);
-  std::vector<PeerAddress> receivers = this->plan.others;
+  std::vector<PeerAddress> receivers = this->plan.otherAggregators;
   if (const auto leader = this->LeaderOutsideAggregators()) {
     receivers.push_back(*leader);
   }
@@ -252,11 +253,11 @@
     return {};
   }
   const MemberReport& report = decoded.value();
-  this->facts.market->router.OnToldSpeeds(report.run, report.speeds);
-  this->facts.market->poison.OnNotes(report.poison);
+  this->inputs.market->router.OnPeerSpeeds(report.run, report.speeds);
+  this->inputs.market->poison.OnVerdicts(report.poison);
   {
     const std::lock_guard lock(this->mutex);
-    this->loadTable.OnMember(report);
+    this->loadTable.OnMemberReport(report);
   }
   return report.wantsSum ? EncodeMessage(this->SumFor(report.run)) : std::string();
 }
@@ -271,10 +272,10 @@
     return;
   }
   const GroupReport& report = decoded.value();
-  this->facts.market->poison.OnNotes(report.poison);
+  this->inputs.market->poison.OnVerdicts(report.poison);
   const std::lock_guard lock(this->mutex);
-  if (this->loadTable.OnGroup(report)) {
-    this->facts.market->router.OnToldSpeeds(report.run, report.speeds);
+  if (this->loadTable.OnGroupReport(report)) {
+    this->inputs.market->router.OnPeerSpeeds(report.run, report.speeds);
   }
 }
 
@@ -286,8 +287,8 @@
     const std::lock_guard lock(this->mutex);
     sum = this->loadTable.SumFor(aRun);
   }
-  sum.speeds = this->facts.market->router.SpeedsInUse();
-  sum.poison = this->facts.market->poison.Notes();
+  sum.speeds = this->inputs.market->router.SpeedsInUse();
+  sum.poison = this->inputs.market->poison.Verdicts();
   return sum;
 }
 
@@ -309,7 +310,7 @@
 LoadExchange::ApplySum(const LoadSum& aSum)
 {
   this->sumAppliedAt = this->clock.Now();
-  std::vector<EndpointCount> counts;
+  std::vector<EndpointInFlightCount> counts;
   counts.reserve(aSum.inFlight.size());
   for (const auto& [key, count] : aSum.inFlight) {
     counts.push_back({ key, count });
@@ -318,11 +319,11 @@
     const std::lock_guard lock(this->mutex);
     this->loadTable.OnLeader(aSum.leader);
   }
-  this->facts.market->router.OnPeersInFlight(counts);
-  this->facts.market->admission.OnOthers(aSum.demand);
-  this->facts.market->poison.OnNotes(aSum.poison);
-  if (aSum.run != this->facts.run) {
-    this->facts.market->router.OnToldSpeeds(aSum.run, aSum.speeds);
+  this->inputs.market->router.OnPeersInFlight(counts);
+  this->inputs.market->admission.OnAggregatedDemand(aSum.demand);
+  this->inputs.market->poison.OnVerdicts(aSum.poison);
+  if (aSum.run != this->inputs.run) {
+    this->inputs.market->router.OnPeerSpeeds(aSum.run, aSum.speeds);
   }
 }
 
--- a/Lagoonward/Daemon/LoadExchange.h
+++ b/Lagoonward/Daemon/LoadExchange.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "Lagoonward/Attempts/Market.h"
-#include "Lagoonward/Daemon/LoadBook.h"
+#include "Lagoonward/Daemon/LoadTable.h"
 #include "Lagoonward/Membership/AggregationPlan.h"
 #include "Lagoonward/Membership/MembershipService.h"
 
@@ -37,7 +37,7 @@
 };
 
 /// Inputs from this daemon: its identity and the sources of its reports.
-struct LoadExchangeFacts
+struct LoadExchangeInputs
 {
   PeerInfo self;
   std::uint64_t run = 0; ///< Identifies this run of this daemon.
@@ -59,14 +59,14 @@
 /// | usage by window and account | with the reports of each usageInterval | 1 s | 28 per account and window | 2 s at the leader |
 ///
 /// With N daemons in groups of G a member sends two messages per interval, and an aggregator receives G and 2 N / G.
-/// A member that is cut off from its aggregators continues with its equal share of each limit (PooledBucket).
+/// A member that is cut off from its aggregators continues with its equal share of each limit (SharedTokenBucket).
 ///
 /// Runs on the control thread, except for the methods marked "any thread".
 class LoadExchange
 {
 public:
   /// Must be constructed before the membership starts; references must outlive it.
-  LoadExchange(const LoadExchangeSettings& aSettings, LoadExchangeFacts aFacts,
+  LoadExchange(const LoadExchangeSettings& aSettings, LoadExchangeInputs aInputs,
                MembershipService& aMembership, const Clock& aClock);
 
   /// Starts to report. On the control thread.
@@ -86,7 +86,7 @@
   /// later. Any thread.
   [[nodiscard]] LeaderAnnouncement Leader() const;
 
-  /// See LoadBook. Any thread. Complete only at aggregators and at the leader.
+  /// See LoadTable. Any thread. Complete only at aggregators and at the leader.
   [[nodiscard]] UsageCounts UsageInWindow(std::int64_t aWindow) const;
   [[nodiscard]] bool IsUsageReportable(Milliseconds aSinceEnd) const;
   void ExpireUsage(std::int64_t aBefore);
@@ -108,7 +108,7 @@
   void ApplySum(const LoadSum& aSum);
 
   LoadExchangeSettings settings;
-  LoadExchangeFacts facts;
+  LoadExchangeInputs inputs;
   MembershipService& membership;
   const Clock& clock;
   PeerKey ownKey;
@@ -122,7 +122,7 @@
   bool draining = false;
   bool planOutdated = true;
   WorkByService sentWork; ///< Total sent by this daemon since its start.
-  LoadBook loadTable;
+  LoadTable loadTable;
 };
 
 } // namespace lagoonward
--- a/Lagoonward/Daemon/LoadMessages.h
+++ b/Lagoonward/Daemon/LoadMessages.h
@@ -1,11 +1,11 @@
 #pragma once
 
 #include "Lagoonward/Admission/DemandView.h"
-#include "Lagoonward/Admission/PoisonGuard.h"
+#include "Lagoonward/Admission/PoisonRequestFilter.h"
 #include "Lagoonward/Membership/WireCodec.h"
 #include "Lagoonward/Metering/UsageCounter.h"
 #include "Lagoonward/Routing/EngineWork.h"
-#include "Lagoonward/Routing/InFlightBook.h"
+#include "Lagoonward/Routing/InFlightTable.h"
 #include "Lagoonward/Routing/SpeedModel.h"
 
 #include <cereal/types/utility.hpp>
@@ -26,7 +26,7 @@
 
 template<class Archive>
 void
-serialize(Archive& aArchive, DemandOfOthers& aDemand)
+serialize(Archive& aArchive, AggregatedDemand& aDemand)
 {
   aArchive(aDemand.series, aDemand.daemons);
   SerializeList<std::uint16_t>(aArchive, aDemand.demand);
@@ -91,10 +91,10 @@
   UsageByWindow usage;
   InFlightCounts inFlight;
   std::vector<ClientDemand> demand;
-  WorkByService work;              ///< Total sent to endpoints since the daemon's start.
-  std::vector<SpeedReport> speeds; ///< As the daemon has measured them.
-  LeaderAnnouncement leader;       ///< The daemon itself, while it leads.
-  std::vector<PoisonNote> poison;  ///< All verdicts that the daemon knows.
+  WorkByService work;                ///< Total sent to endpoints since the daemon's start.
+  std::vector<SpeedReport> speeds;   ///< As the daemon has measured them.
+  LeaderAnnouncement leader;         ///< The daemon itself, while it leads.
+  std::vector<PoisonVerdict> poison; ///< All verdicts that the daemon knows.
 
   template<class Archive>
   void serialize(Archive& aArchive)
@@ -116,10 +116,10 @@
 {
   std::uint64_t run = 0; ///< Run of the aggregator.
   InFlightCounts inFlight;
-  DemandOfOthers demand;
+  AggregatedDemand demand;
   std::vector<SpeedReport> speeds;
   LeaderAnnouncement leader;
-  std::vector<PoisonNote> poison; ///< All verdicts that the aggregator knows.
+  std::vector<PoisonVerdict> poison; ///< All verdicts that the aggregator knows.
 
   template<class Archive>
   void serialize(Archive& aArchive)
@@ -142,11 +142,11 @@
   std::int64_t usageAge = 0; ///< Age of the oldest usage report among the members, in milliseconds.
   UsageByWindow usage;
   InFlightCounts inFlight;
-  DemandOfOthers demand;           ///< Of the whole group.
-  WorkByService workRate;          ///< Per second.
-  std::vector<SpeedReport> speeds; ///< Medians of what its members have measured.
-  LeaderAnnouncement leader;       ///< As one of the members has announced it.
-  std::vector<PoisonNote> poison;  ///< All verdicts that the aggregator knows.
+  AggregatedDemand demand;           ///< Of the whole group.
+  WorkByService workRate;            ///< Per second.
+  std::vector<SpeedReport> speeds;   ///< Medians of what its members have measured.
+  LeaderAnnouncement leader;         ///< As one of the members has announced it.
+  std::vector<PoisonVerdict> poison; ///< All verdicts that the aggregator knows.
 
   template<class Archive>
   void serialize(Archive& aArchive)
--- a/Lagoonward/Daemon/LoadBook.cpp
+++ b/Lagoonward/Daemon/LoadTable.cpp
@@ -1,4 +1,4 @@
-#include "Lagoonward/Daemon/LoadBook.h"
+#include "Lagoonward/Daemon/LoadTable.h"
 
 #include "Lagoonward/Core/Hash.h"
 
@@ -53,7 +53,7 @@
 
 } // namespace
 
-LoadBook::GroupTables::GroupTables(const LoadTableSettings& aSettings, const Clock& aClock)
+LoadTable::GroupTables::GroupTables(const LoadTableSettings& aSettings, const Clock& aClock)
   : memberUsage(aSettings.usage, aClock)
   , groupUsage(aSettings.usage, aClock)
   , memberWork(aSettings.silenceTimeout, aClock)
@@ -64,7 +64,7 @@
 {
 }
 
-LoadBook::LoadBook(const LoadTableSettings& aSettings, std::uint64_t aRun, const Clock& aClock)
+LoadTable::LoadTable(const LoadTableSettings& aSettings, std::uint64_t aRun, const Clock& aClock)
   : settings(aSettings)
   , run(aRun)
   , clock(aClock)
@@ -73,7 +73,7 @@
 }
 
 void
-LoadBook::SetGroup(std::uint64_t aGroup)
+LoadTable::SetGroup(std::uint64_t aGroup)
 {
   if (aGroup != this->group) {
     this->group = aGroup;
@@ -82,7 +82,7 @@
 }
 
 void
-LoadBook::OnMember(const MemberReport& aReport)
+LoadTable::OnMemberReport(const MemberReport& aReport)
 {
   this->OnLeader(aReport.leader);
   if (aReport.group != this->group) {
@@ -94,11 +94,11 @@
   this->tables->memberWork.OnTotals(aReport.run, aReport.work);
   this->tables->memberInFlight.OnCounts(aReport.run, aReport.inFlight);
   this->tables->memberSpeeds[aReport.run] = { this->clock.Now(), aReport.speeds };
-  this->tables->memberDemand.OnTold(aReport.run, aReport.run, 1, Plausible(aReport.demand));
+  this->tables->memberDemand.OnReport(aReport.run, aReport.run, 1, Plausible(aReport.demand));
 }
 
 bool
-LoadBook::OnGroup(const GroupReport& aReport)
+LoadTable::OnGroupReport(const GroupReport& aReport)
 {
   if (aReport.group == this->group || aReport.demand.daemons < 0 || aReport.usageAge < 0) {
     return false;
@@ -120,21 +120,21 @@
     this->tables->groupUsage.OnCounts(aReport.group, aReport.usage, Milliseconds(aReport.usageAge));
   }
   this->tables->groupInFlight.OnCounts(aReport.group, aReport.inFlight);
-  this->tables->groupDemand.OnTold(aReport.group, aReport.run, aReport.demand.daemons,
-                                   Plausible(aReport.demand.demand));
+  this->tables->groupDemand.OnReport(aReport.group, aReport.run, aReport.demand.daemons,
+                                     Plausible(aReport.demand.demand));
   return true;
 }
 
 LoadSum
-LoadBook::SumFor(std::uint64_t aRun)
+LoadTable::SumFor(std::uint64_t aRun)
 {
-  this->tables->memberDemand.Forget();
-  this->tables->groupDemand.Forget();
+  this->tables->memberDemand.RemoveStaleSources();
+  this->tables->groupDemand.RemoveStaleSources();
   LoadSum sum;
   sum.run = this->run;
   sum.inFlight =
     AddInFlight(this->tables->memberInFlight.SumOfOthers(aRun), this->tables->groupInFlight.Sum());
-  const DemandOfOthers groupSum = this->tables->groupDemand.Sum();
+  const AggregatedDemand groupSum = this->tables->groupDemand.Sum();
   sum.demand = this->tables->memberDemand.SumOfOthers(aRun);
   sum.demand.series = CombineHashes(this->run, sum.demand.series);
   sum.demand.daemons += groupSum.daemons;
@@ -144,14 +144,14 @@
 }
 
 GroupReport
-LoadBook::GroupSum(bool aHasUsage)
+LoadTable::MakeGroupReport(bool aHasUsage)
 {
   GroupReport report;
   report.run = this->run;
   report.group = this->group;
   report.hasUsage = aHasUsage;
   if (aHasUsage) {
-    report.usageAge = this->tables->memberUsage.Age().count();
+    report.usageAge = this->tables->memberUsage.OldestAge().count();
     report.usage = this->tables->memberUsage.Totals();
   }
   report.inFlight = this->tables->memberInFlight.Sum();
@@ -163,7 +163,7 @@
 }
 
 void
-LoadBook::OnLeader(const LeaderAnnouncement& aAnnouncement)
+LoadTable::OnLeader(const LeaderAnnouncement& aAnnouncement)
 {
   if (aAnnouncement.id.empty() || aAnnouncement.fencing < this->leader.fencing ||
       aAnnouncement.age < 0) {
@@ -179,7 +179,7 @@
 }
 
 LeaderAnnouncement
-LoadBook::Leader(Milliseconds aWithin) const
+LoadTable::Leader(Milliseconds aWithin) const
 {
   const auto age = std::chrono::floor<Milliseconds>(this->clock.Now() - this->leaderAnnouncedAt);
   if (this->leader.id.empty() || age > aWithin) {
@@ -189,7 +189,7 @@
 }
 
 std::vector<SpeedReport>
-LoadBook::GroupSpeeds()
+LoadTable::GroupSpeeds()
 {
   const TimePoint now = this->clock.Now();
   std::erase_if(this->tables->memberSpeeds, [&](const auto& aMember) {
@@ -210,7 +210,7 @@
 }
 
 UsageCounts
-LoadBook::UsageInWindow(std::int64_t aWindow) const
+LoadTable::UsageInWindow(std::int64_t aWindow) const
 {
   UsageCounts total = this->tables->memberUsage.TotalOf(aWindow);
   for (const auto& [account, count] : this->tables->groupUsage.TotalOf(aWindow)) {
@@ -220,20 +220,20 @@
 }
 
 bool
-LoadBook::IsUsageReportable(Milliseconds aSinceEnd) const
+LoadTable::IsUsageReportable(Milliseconds aSinceEnd) const
 {
   return this->tables->memberUsage.IsDue(aSinceEnd) && this->tables->groupUsage.IsDue(aSinceEnd);
 }
 
 void
-LoadBook::ExpireUsage(std::int64_t aBefore)
+LoadTable::ExpireUsage(std::int64_t aBefore)
 {
-  this->tables->memberUsage.Forget(aBefore);
-  this->tables->groupUsage.Forget(aBefore);
+  this->tables->memberUsage.EvictBefore(aBefore);
+  this->tables->groupUsage.EvictBefore(aBefore);
 }
 
 EngineWork
-LoadBook::RateOf(const std::string& aService) const
+LoadTable::RateOf(const std::string& aService) const
 {
   EngineWork sum = this->tables->memberWork.RateOf(aService);
   for (const auto& [key, each] : this->tables->groups) {
@@ -247,13 +247,13 @@
 }
 
 int
-LoadBook::Heard() const
+LoadTable::ReportedDaemons() const
 {
   return this->tables->memberDemand.Sum().daemons + this->tables->groupDemand.Sum().daemons;
 }
 
 std::vector<ClientDemand>
-LoadBook::Plausible(std::vector<ClientDemand> aDemand)
+LoadTable::Plausible(std::vector<ClientDemand> aDemand)
 {
   std::erase_if(aDemand, [](const ClientDemand& aEach) { return !IsPlausible(aEach); });
   return aDemand;
--- a/Lagoonward/Daemon/LoadBook.h
+++ b/Lagoonward/Daemon/LoadTable.h
@@ -1,10 +1,10 @@
 #pragma once
 
-#include "Lagoonward/Admission/DemandSum.h"
+#include "Lagoonward/Admission/DemandAggregator.h"
 #include "Lagoonward/Daemon/LoadMessages.h"
-#include "Lagoonward/Metering/UsageBook.h"
-#include "Lagoonward/Placement/DemandBook.h"
-#include "Lagoonward/Routing/InFlightBook.h"
+#include "Lagoonward/Metering/UsageAccumulator.h"
+#include "Lagoonward/Placement/DemandAccumulator.h"
+#include "Lagoonward/Routing/InFlightTable.h"
 
 #include <optional>
 #include <unordered_map>
@@ -14,8 +14,8 @@
 /// Tunables of an aggregator's load table.
 struct LoadTableSettings
 {
-  UsageBookSettings usage;
-  DemandSumSettings demand;
+  UsageAccumulatorSettings usage;
+  DemandAggregatorSettings demand;
   Milliseconds silenceTimeout{
     3000
   }; ///< A daemon or group that has sent no report for this long is left out of the sums.
@@ -31,23 +31,23 @@
 ///
 /// Handling a member's report and making its response takes time proportional to the entries of the report and to the
 /// endpoints in use, independent of the number of daemons outside the group.
-class LoadBook
+class LoadTable
 {
 public:
   /// @param aRun  identifies this daemon and this run of it
-  LoadBook(const LoadTableSettings& aSettings, std::uint64_t aRun, const Clock& aClock);
+  LoadTable(const LoadTableSettings& aSettings, std::uint64_t aRun, const Clock& aClock);
 
   /// Sets the group that this daemon belongs to. A change clears all reports, since other aggregators report the
   /// members of the previous group from then on.
   void SetGroup(std::uint64_t aGroup);
 
   /// Applies a member's report. A report that names another group is ignored, except for its leader announcement.
-  void OnMember(const MemberReport& aReport);
+  void OnMemberReport(const MemberReport& aReport);
 
   /// Applies the sums that the first aggregator of another group has sent. While two aggregators send sums for one
   /// group, those of the one that was received first count.
   /// @return false where the report was ignored
-  bool OnGroup(const GroupReport& aReport);
+  bool OnGroupReport(const GroupReport& aReport);
 
   /// Requests in flight and demand of all daemons but the one with that run.
   [[nodiscard]] LoadSum SumFor(std::uint64_t aRun);
@@ -55,7 +55,7 @@
   /// The sums of this group, and the medians of the speeds that its members have measured. The speeds in use are not
   /// sent: they come from other groups in part, and sent back to these they would keep all groups at the first
   /// estimate.
-  [[nodiscard]] GroupReport GroupSum(bool aHasUsage);
+  [[nodiscard]] GroupReport MakeGroupReport(bool aHasUsage);
 
   /// Requests per account that started in a window, over all daemons.
   [[nodiscard]] UsageCounts UsageInWindow(std::int64_t aWindow) const;
@@ -74,7 +74,7 @@
   void OnLeader(const LeaderAnnouncement& aAnnouncement);
 
   /// Number of daemons whose reports are in the sums, directly or through their group.
-  [[nodiscard]] int Heard() const;
+  [[nodiscard]] int ReportedDaemons() const;
 
 private:
   /// The accepted aggregator of another group, and its last report.
@@ -97,13 +97,13 @@
   {
     GroupTables(const LoadTableSettings& aSettings, const Clock& aClock);
 
-    UsageBook memberUsage;
-    UsageBook groupUsage;
-    DemandBook memberWork;
-    InFlightBook memberInFlight;
-    InFlightBook groupInFlight;
-    DemandSum memberDemand;
-    DemandSum groupDemand;
+    UsageAccumulator memberUsage;
+    UsageAccumulator groupUsage;
+    DemandAccumulator memberWork;
+    InFlightTable memberInFlight;
+    InFlightTable groupInFlight;
+    DemandAggregator memberDemand;
+    DemandAggregator groupDemand;
     std::unordered_map<std::uint64_t, SpeedsOfMember> memberSpeeds;
     std::unordered_map<std::uint64_t, Group> groups;
   };
--- a/Lagoonward/Daemon/MarketLeader.cpp
+++ b/Lagoonward/Daemon/MarketLeader.cpp
@@ -70,7 +70,7 @@
   }
   PlacementView view{ manifest, aState.configuration->offset, *aState.fleet, {}, {} };
   for (const ConfigurationPtr& other : aState.others) {
-    view.others.push_back(&other->manifest);
+    view.otherManifests.push_back(&other->manifest);
   }
   this->confirmedWeights.clear();
   this->loadsDelayed = false;
@@ -93,7 +93,7 @@
     this->unansweredOrders.clear();
     // A daemon that has known the fleet for a while needs less time until its snapshot is complete
     const TimePoint earliest =
-      this->clock.Now() + this->settings.takeoverDelay - this->settings.placement.settle;
+      this->clock.Now() + this->settings.takeoverDelay - this->settings.placement.settleTime;
     this->placement.emplace(this->settings.placement, this->market, this->region,
                             std::max(*this->fleetKnownSince, earliest));
   }
--- a/Lagoonward/Daemon/PeerClaimForwarder.cpp
+++ b/Lagoonward/Daemon/PeerClaimForwarder.cpp
@@ -103,7 +103,7 @@
   this->claims = &aClaims;
   this->membership.Transport().OnRequest(
     RequestType::Claim,
-    [this](PeerKey, std::string_view aBytes, const PeerTransport::Respond& aRespond) {
+    [this](PeerKey, std::string_view aBytes, const PeerTransport::Responder& aRespond) {
       const auto message = DecodePeerMessage<ClaimMessage>(aBytes);
       if (!message) {
         aRespond(Error(ErrorKind::InvalidRequest, "The forwarded claim is malformed."));
--- a/Lagoonward/Daemon/PeerRequestDirectory.cpp
+++ b/Lagoonward/Daemon/PeerRequestDirectory.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /// Type of the request to read an answer; see RequestType.
-constexpr auto kReadAnswer = RequestType::FirstForeign;
+constexpr auto kReadAnswer = RequestType::FirstExternal;
 
 struct QueryMessage
 {
@@ -120,7 +120,8 @@
 {
   this->runs = &aRuns;
   this->membership.Transport().OnRequest(
-    kReadAnswer, [this](PeerKey, std::string_view aBytes, const PeerTransport::Respond& aRespond) {
+    kReadAnswer,
+    [this](PeerKey, std::string_view aBytes, const PeerTransport::Responder& aRespond) {
       const auto query = DecodePeerMessage<QueryMessage>(aBytes);
       if (!query) {
         aRespond(Error(ErrorKind::InvalidRequest, "The query for an answer is malformed."));
@@ -134,7 +135,7 @@
 }
 
 void
-PeerRequestDirectory::Place(const RequestPlace& aPlace)
+PeerRequestDirectory::PublishLocation(const RequestLocation& aPlace)
 {
   SoftRecord record;
   record.keyHash = HashBytes(aPlace.key);
@@ -149,13 +150,13 @@
 }
 
 void
-PeerRequestDirectory::Find(const std::string& aKey, Found aFound)
+PeerRequestDirectory::Find(const std::string& aKey, FindCallback aFound)
 {
   // The search or its timeout completes the call, whichever comes first. Both run on the control thread
-  const auto pending = std::make_shared<Found>(std::move(aFound));
-  const auto complete = [pending](std::optional<FoundRequest> aRequest) {
+  const auto pending = std::make_shared<FindCallback>(std::move(aFound));
+  const auto complete = [pending](std::optional<RemoteRequest> aRequest) {
     if (*pending) {
-      const Found found = std::move(*pending);
+      const FindCallback found = std::move(*pending);
       *pending = nullptr;
       found(std::move(aRequest));
     }
@@ -171,7 +172,7 @@
 }
 
 void
-PeerRequestDirectory::Read(std::uint64_t aServer, const AnswerQuery& aQuery, Part aPart)
+PeerRequestDirectory::Read(std::uint64_t aServer, const AnswerQuery& aQuery, ReadCallback aPart)
 {
   const auto address = this->membership.AddressOf(aServer);
   if (!address) {
@@ -191,10 +192,10 @@
     });
 }
 
-FoundRequest
+RemoteRequest
 PeerRequestDirectory::ToFoundRequest(const SoftRecord& aRecord) const
 {
-  FoundRequest found;
+  RemoteRequest found;
   found.server = aRecord.server;
   found.bodyHash = aRecord.bodyHash;
   found.streamId = aRecord.streamId;
--- a/Lagoonward/Daemon/PeerRequestDirectory.h
+++ b/Lagoonward/Daemon/PeerRequestDirectory.h
@@ -28,12 +28,12 @@
   /// Starts to handle reads of other daemons. Must be called before the membership starts.
   void Serve(RunService& aRuns);
 
-  void Place(const RequestPlace& aPlace) override;
-  void Find(const std::string& aKey, Found aFound) override;
-  void Read(std::uint64_t aServer, const AnswerQuery& aQuery, Part aPart) override;
+  void PublishLocation(const RequestLocation& aPlace) override;
+  void Find(const std::string& aKey, FindCallback aFound) override;
+  void Read(std::uint64_t aServer, const AnswerQuery& aQuery, ReadCallback aPart) override;
 
 private:
-  [[nodiscard]] FoundRequest ToFoundRequest(const SoftRecord& aRecord) const;
+  [[nodiscard]] RemoteRequest ToFoundRequest(const SoftRecord& aRecord) const;
 
   PeerRequestDirectorySettings settings;
   MembershipService& membership;
--- a/Lagoonward/Daemon/PermitExchange.cpp
+++ b/Lagoonward/Daemon/PermitExchange.cpp
@@ -1,7 +1,7 @@
 #include "Lagoonward/Daemon/PermitExchange.h"
 
 #include "Lagoonward/Core/Log.h"
-#include "Lagoonward/Daemon/LimitLoans.h"
+#include "Lagoonward/Daemon/LimitTokenExchange.h"
 #include "Lagoonward/Membership/WireCodec.h"
 
 #include <algorithm>
@@ -12,10 +12,10 @@
 
 const Log kLog("limits");
 
-/// Type of the message, a PermitRequest whose response is a PermitReply; request types above RequestType::FirstForeign
+/// Type of the message, a PermitRequest whose response is a PermitReply; request types above RequestType::FirstExternal
 /// belong to this folder.
 constexpr auto kPermit =
-  static_cast<RequestType>(static_cast<std::uint16_t>(RequestType::FirstForeign) + 8);
+  static_cast<RequestType>(static_cast<std::uint16_t>(RequestType::FirstExternal) + 8);
 
 /// Whether the reply allows the request to be sent now.
 bool
@@ -29,9 +29,9 @@
 CombineReplies(const PermitReply& aLeft, const PermitReply& aRight)
 {
   if (aLeft.answer == PermitAnswer::Wait && aRight.answer == PermitAnswer::Wait) {
-    return { PermitAnswer::Wait, std::min(aLeft.wait, aRight.wait) };
+    return { PermitAnswer::Wait, std::min(aLeft.retryAfterMs, aRight.retryAfterMs) };
   }
-  if (IsPermitted(aLeft) || aRight.answer == PermitAnswer::NotKeeper) {
+  if (IsPermitted(aLeft) || aRight.answer == PermitAnswer::NotOwner) {
     return aLeft;
   }
   return aRight;
@@ -39,7 +39,7 @@
 
 } // namespace
 
-PermitExchange::PermitExchange(const KeeperQuerySettings& aSettings, KeeperDirectory& aOwners,
+PermitExchange::PermitExchange(const KeyOwnerQuerySettings& aSettings, KeyOwnerDirectory& aOwners,
                                MembershipService& aMembership, EndpointLimits& aLimits,
                                const Clock& aClock)
   : owners(aOwners)
@@ -47,11 +47,12 @@
   , query(aSettings, kPermit, aOwners, aMembership, aClock)
 {
   aMembership.Transport().OnRequest(
-    kPermit, [this](PeerKey, std::string_view aBytes, const PeerTransport::Respond& aRespond) {
+    kPermit, [this](PeerKey, std::string_view aBytes, const PeerTransport::Responder& aRespond) {
       aRespond(this->Serve(aBytes));
     });
-  aLimits.OnLifted(
-    [this](const PermitRequest& aUpdate) { this->Ask(aUpdate, [](const PermitReply&) {}); });
+  aLimits.SetLimitLiftedListener([this](const PermitRequest& aUpdate) {
+    this->RequestPermit(aUpdate, [](const PermitReply&) {});
+  });
 }
 
 std::string
@@ -70,15 +71,15 @@
 PermitExchange::Serve(const PermitRequest& aRequest)
 {
   return this->ledger.Serve(aRequest, ReserveRoleOf(this->owners, aRequest.endpoint),
-                            this->owners.IsSettled(this->ledger.Takeover()));
+                            this->owners.IsStableFor(this->ledger.TakeoverDelay()));
 }
 
 void
-PermitExchange::Ask(const PermitRequest& aRequest,
-                    std::function<void(const PermitReply& aReply)> aAnswered)
+PermitExchange::RequestPermit(const PermitRequest& aRequest,
+                              std::function<void(const PermitReply& aReply)> aAnswered)
 {
-  const KeeperRole role = this->owners.RoleOf(aRequest.endpoint);
-  if (role == KeeperRole::Primary && aRequest.wants) {
+  const KeyOwnerRole role = this->owners.RoleOf(aRequest.endpoint);
+  if (role == KeyOwnerRole::Primary && aRequest.wantsPermit) {
     aAnswered(this->Serve(aRequest));
     return;
   }
@@ -86,8 +87,8 @@
   KeyOwnerRequest ownerRequest;
   ownerRequest.key = aRequest.endpoint;
   ownerRequest.message = EncodeMessage(aRequest);
-  ownerRequest.onResponse = [combined, wants = aRequest.wants](std::string_view aResponse,
-                                                               bool /*aIsLate*/) {
+  ownerRequest.onResponse = [combined, wants = aRequest.wantsPermit](std::string_view aResponse,
+                                                                     bool /*aIsLate*/) {
     const auto reply = DecodeMessage<PermitReply>(aResponse);
     if (!reply || reply.value().answer > PermitAnswer::Unlimited) {
       return KeyOwnerResponseStatus::Malformed;
@@ -100,7 +101,7 @@
   ownerRequest.onCompleted = [this, combined, request = aRequest, answered = std::move(aAnswered),
                               role] {
     // An update applies to this daemon, too. As the backup it grants from its own share only where the primary does not
-    if (role != KeeperRole::None && (!request.wants || !IsPermitted(*combined))) {
+    if (role != KeyOwnerRole::None && (!request.wantsPermit || !IsPermitted(*combined))) {
       *combined = CombineReplies(*combined, this->Serve(request));
     }
     answered(*combined);
--- a/Lagoonward/Daemon/PlatformWatcher.cpp
+++ b/Lagoonward/Daemon/PlatformWatcher.cpp
@@ -14,7 +14,7 @@
 
 PlatformWatcher::PlatformWatcher(const PlatformWatcherSettings& aSettings, const Clock& aClock,
                                  const std::string& aHostListUrl, const std::string& aCloudUrl,
-                                 PlatformNews aFeed)
+                                 PlatformCallbacks aFeed)
   : settings(aSettings)
   , clock(aClock)
   , hostList(aHostListUrl, aSettings.platform)
--- a/Lagoonward/Daemon/PlatformWatcher.h
+++ b/Lagoonward/Daemon/PlatformWatcher.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "Lagoonward/Core/Service.h"
-#include "Lagoonward/Membership/HostListPace.h"
+#include "Lagoonward/Membership/HostListPollInterval.h"
 #include "Lagoonward/Providers/HttpCloudService.h"
 #include "Lagoonward/Providers/HttpHostListService.h"
 
@@ -28,7 +28,7 @@
 };
 
 /// Callbacks for data from the platform. Called on the watcher's threads.
-struct PlatformNews
+struct PlatformCallbacks
 {
   std::function<bool()> readsHostList; ///< Whether this daemon reads the host list for its region.
   std::function<void(std::vector<HostEntry>)> onHosts;
@@ -45,7 +45,7 @@
 
   PlatformWatcher(const PlatformWatcherSettings& aSettings, const Clock& aClock,
                   const std::string& aHostListUrl, const std::string& aCloudUrl,
-                  PlatformNews aFeed);
+                  PlatformCallbacks aFeed);
   ~PlatformWatcher() override;
 
   [[nodiscard]] std::string_view Name() const override;
@@ -67,9 +67,9 @@
   const Clock& clock;
   HttpHostListService hostList;
   HttpCloudService cloud;
-  PlatformNews feed;
-  Offset nextNotice = 0;             ///< Notices thread only.
-  HostListPace hostListPollInterval; ///< Host list thread only.
+  PlatformCallbacks feed;
+  Offset nextNotice = 0;                     ///< Notices thread only.
+  HostListPollInterval hostListPollInterval; ///< Host list thread only.
   std::atomic<bool> hasHosts{ false };
   std::mutex sleepMutex;
   std::condition_variable_any sleeping;
--- a/Lagoonward/Daemon/RelayDaemon.cpp
+++ b/Lagoonward/Daemon/RelayDaemon.cpp
@@ -79,8 +79,8 @@
   this->relay = &this->kernel.Add(
     std::make_unique<RelayService>(RelaySettings{}, this->ports.endpoints, *this->market,
                                    this->fleet, this->reporter, this->clock));
-  this->relay->SetLender(*this->limitTokenExchange);
-  this->relay->SetPermits(*this->permitExchange);
+  this->relay->SetTokenSource(*this->limitTokenExchange);
+  this->relay->SetPermitSource(*this->permitExchange);
   this->BuildLeaderTasks();
   this->BuildServers();
   if (auto started = this->kernel.StartAll(); !started) {
@@ -136,34 +136,34 @@
     this->market->SetLiveDaemons(static_cast<int>(aView->peers.size()) + 1);
     this->UpdateDaemonCount();
     this->keyOwners->OnPeers(*aView);
-    this->limitTokenExchange->OnKeepers();
-    this->crashExchange->OnKeepers();
+    this->limitTokenExchange->OnKeyOwnersChanged();
+    this->crashExchange->OnKeyOwnersChanged();
   });
-  LoadExchangeFacts facts;
+  LoadExchangeInputs facts;
   facts.self = self;
   facts.run = HashBytes(this->incarnation);
   facts.usage = [this] { return this->usage.Read(); };
-  facts.leader = [this] { return this->leaderTasks->OwnTenure(); };
+  facts.leader = [this] { return this->leaderTasks->OwnAnnouncement(); };
   facts.market = this->market.get();
   this->loadExchange = std::make_unique<LoadExchange>(LoadExchangeSettings{}, std::move(facts),
                                                       *this->membership, this->clock);
-  this->keyOwners = std::make_unique<KeeperDirectory>(self, this->clock);
+  this->keyOwners = std::make_unique<KeyOwnerDirectory>(self, this->clock);
   this->limitTokenExchange =
-    std::make_unique<LimitLoans>(KeeperQuerySettings{}, *this->keyOwners, *this->membership,
-                                 this->market->admission, this->clock);
+    std::make_unique<LimitTokenExchange>(KeyOwnerQuerySettings{}, *this->keyOwners,
+                                         *this->membership, this->market->admission, this->clock);
   this->crashExchange =
     std::make_unique<CrashExchange>(CrashExchangeSettings{}, *this->keyOwners, *this->membership,
                                     this->market->poison, this->clock);
   this->permitExchange =
-    std::make_unique<PermitExchange>(KeeperQuerySettings{}, *this->keyOwners, *this->membership,
+    std::make_unique<PermitExchange>(KeyOwnerQuerySettings{}, *this->keyOwners, *this->membership,
                                      this->market->endpointLimits, this->clock);
-  EndpointNewsHooks hooks;
+  EndpointReplicatorHooks hooks;
   hooks.decode = this->ports.decodeEndpoint;
   hooks.onChanged = [this] { this->PublishFleet(); };
   hooks.configurationVersion = [this] { return this->ConfigurationVersion(); };
-  this->endpointReplicator =
-    std::make_unique<EndpointNews>(EndpointReplicatorSettingsFor(this->settings.leavingNotice),
-                                   *this->membership, self, std::move(hooks), this->clock);
+  this->endpointReplicator = std::make_unique<EndpointReplicator>(
+    EndpointReplicatorSettingsFor(this->settings.leavingNotice), *this->membership, self,
+    std::move(hooks), this->clock);
   this->reporter.SetEndpointsAge([this] { return this->endpointReplicator->Age(); });
   return boost::outcome_v2::success();
 }
@@ -171,20 +171,20 @@
 void
 RelayDaemon::BuildLeaderTasks()
 {
-  DutyFacts facts;
+  LeaderTaskInputs facts;
   facts.self = this->settings.peer.address;
   facts.region = this->settings.region;
   facts.incarnation = this->incarnation;
-  facts.inForce = [this] { return this->InForce(); };
+  facts.activeConfiguration = [this] { return this->ConfigurationInForce(); };
   facts.fleet = &this->fleet;
   facts.router = &this->market->router;
   facts.load = this->loadExchange.get();
   this->leaderTasks = &this->kernel.Add(
-    std::make_unique<DutyService>(LeaderTaskSettingsOf(this->settings), std::move(facts),
-                                  this->ports.duties, this->usage, this->clock));
+    std::make_unique<LeaderTaskService>(LeaderTaskSettingsOf(this->settings), std::move(facts),
+                                        this->ports.leaderTasks, this->usage, this->clock));
   this->reporter.SetBeganHandler([this](const RelayCall& aCall) {
     if (!aCall.account.empty()) {
-      this->usage.OnBegan(aCall.account);
+      this->usage.OnStarted(aCall.account);
     }
   });
   this->reporter.SetSentHandler([this](const RelayCall& aCall, const EngineWork& aWork) {
@@ -227,25 +227,25 @@
 void
 RelayDaemon::HandleCall(HttpRequest aRequest, const HttpExchangePtr& aExchange)
 {
-  auto caller = std::make_unique<ExchangeCaller>(aExchange, this->ports.callers.writeError);
+  auto caller = std::make_unique<HttpRelayCaller>(aExchange, this->ports.callers.writeError);
   if (this->rejectsRequests) {
     // The end of the grace period could cut off a request that is accepted now
-    caller->Refuse(Error(ErrorKind::Draining, "This daemon is draining; retry at another one.")
-                     .WithRetryAfter(kDrainRetryAfter));
+    caller->SendError(Error(ErrorKind::Draining, "This daemon is draining; retry at another one.")
+                        .WithRetryAfter(kDrainRetryAfter));
     return;
   }
   auto call = this->ports.callers.read(std::move(aRequest));
   if (!call) {
     kLog.Event("refused", { { "kind", GetErrorRule(call.error().kind).name },
                             { "reason", call.error().message } });
-    caller->Refuse(call.error());
+    caller->SendError(call.error());
     return;
   }
   this->relay->Submit(std::move(call.value()), std::move(caller));
 }
 
 RelayConfigurationPtr
-RelayDaemon::InForce() const
+RelayDaemon::ConfigurationInForce() const
 {
   return std::atomic_load(&this->configurationInForce);
 }
@@ -254,11 +254,11 @@
 RelayDaemon::State() const
 {
   RelayState state;
-  const RelayConfigurationPtr current = this->InForce();
+  const RelayConfigurationPtr current = this->ConfigurationInForce();
   state.configurationVersion = current == nullptr ? 0 : current->routes->Version();
   // A service that has lost its last endpoint is reported with zero
   if (current != nullptr) {
-    for (const RelayServiceFacts& service : current->services) {
+    for (const RelayServiceConfiguration& service : current->services) {
       state.endpoints[service.name] = {};
     }
   }
@@ -269,12 +269,12 @@
   }
   state.daemons = this->LiveDaemons();
   state.openRequests = this->callerServer->OpenExchanges();
-  state.isLeader = this->leaderTasks->Leads();
+  state.isLeader = this->leaderTasks->IsLeader();
   state.isEndpointReader = this->endpointReplicator->IsPrimaryReader();
   state.refusedRecords = this->endpointReplicator->RefusedRecords();
   state.endpointsAge = this->endpointReplicator->Age();
-  state.poisonedRequests = this->market->poison.Poisoned();
-  state.limitedEndpoints = static_cast<int>(this->market->endpointLimits.Limited().size());
+  state.poisonedRequests = this->market->poison.PoisonedCount();
+  state.limitedEndpoints = static_cast<int>(this->market->endpointLimits.LimitedEndpoints().size());
   return state;
 }
 
@@ -287,7 +287,7 @@
 bool
 RelayDaemon::IsReady() const
 {
-  return !this->draining && this->InForce() != nullptr && this->knowsEndpoints;
+  return !this->draining && this->ConfigurationInForce() != nullptr && this->knowsEndpoints;
 }
 
 void
@@ -312,7 +312,7 @@
   }
   const auto next = std::make_shared<const RelayConfiguration>(std::move(decoded.value()));
   const std::int64_t version = next->routes->Version();
-  const RelayConfigurationPtr current = this->InForce();
+  const RelayConfigurationPtr current = this->ConfigurationInForce();
   if (current != nullptr && version <= current->routes->Version()) {
     return false;
   }
@@ -348,7 +348,7 @@
 }
 
 void
-RelayDaemon::OnEndpointRecords(std::vector<EndpointRecord> aRecords, std::int64_t aEndVersion)
+RelayDaemon::OnEndpointFullRead(std::vector<EndpointRecord> aRecords, std::int64_t aEndVersion)
 {
   this->membership->Loop().Post([this, records = std::move(aRecords), aEndVersion] {
     this->endpointReplicator->OnFullRead(records, aEndVersion);
@@ -360,14 +360,14 @@
 }
 
 void
-RelayDaemon::OnEndpointsRead(TimePoint aAsOf, std::int64_t aEndVersion)
+RelayDaemon::OnEndpointReadCompleted(TimePoint aAsOf, std::int64_t aEndVersion)
 {
   this->membership->Loop().Post(
     [this, aAsOf, aEndVersion] { this->endpointReplicator->OnReadCompleted(aAsOf, aEndVersion); });
 }
 
 void
-RelayDaemon::OnEndpointSource(bool aAnswers)
+RelayDaemon::OnEndpointSourceReachability(bool aAnswers)
 {
   this->membership->Loop().Post(
     [this, aAnswers] { this->endpointReplicator->OnSourceReachability(aAnswers); });
@@ -376,12 +376,12 @@
 std::int64_t
 RelayDaemon::ConfigurationVersion() const
 {
-  const RelayConfigurationPtr current = this->InForce();
+  const RelayConfigurationPtr current = this->ConfigurationInForce();
   return current == nullptr ? -1 : current->routes->Version();
 }
 
 bool
-RelayDaemon::KnowsDaemons() const
+RelayDaemon::KnowsLiveDaemons() const
 {
   const PeerViewPtr view = this->membership->Peers();
   return !view->peers.empty() &&
@@ -390,15 +390,15 @@
 }
 
 bool
-RelayDaemon::ReadsForAll() const
+RelayDaemon::IsPrimaryReader() const
 {
   return this->endpointReplicator->IsPrimaryReader();
 }
 
 bool
-RelayDaemon::IsToldOfConfigurations()
+RelayDaemon::ReceivesConfigurationsFromPeers()
 {
-  if (this->endpointReplicator->WatchesSource() || this->InForce() == nullptr) {
+  if (this->endpointReplicator->WatchesSource() || this->ConfigurationInForce() == nullptr) {
     return false;
   }
   const TimePoint now = this->clock.Now();
@@ -409,13 +409,13 @@
 }
 
 Milliseconds
-RelayDaemon::EndpointPace() const
+RelayDaemon::EndpointReadInterval() const
 {
   return this->endpointReplicator->ReadInterval();
 }
 
 void
-RelayDaemon::OnDaemons(std::vector<HostEntry> aDaemons)
+RelayDaemon::OnDaemonList(std::vector<HostEntry> aDaemons)
 {
   this->membership->Loop().Post([this, daemons = std::move(aDaemons)] {
     this->listedDaemons = daemons;
@@ -461,7 +461,7 @@
   const bool isStarting = this->clock.Now() < this->startedAt + kDaemonListValidity;
   const int listedCount = isStarting ? static_cast<int>(this->listedDaemons.size()) : 0;
   if (live > 1 || !this->listedDaemons.empty()) {
-    this->market->admission.SetDaemons(std::max(live, listedCount));
+    this->market->admission.SetDaemonCount(std::max(live, listedCount));
   }
 }
 
@@ -469,11 +469,11 @@
 RelayDaemon::PublishFleet()
 {
   auto snapshot = std::make_shared<FleetSnapshot>(*this->endpointReplicator->Snapshot());
-  if (const RelayConfigurationPtr current = this->InForce()) {
+  if (const RelayConfigurationPtr current = this->ConfigurationInForce()) {
     for (Endpoint& endpoint : snapshot->endpoints) {
-      const auto service =
-        std::find_if(current->services.begin(), current->services.end(),
-                     [&](const RelayServiceFacts& aEach) { return aEach.name == endpoint.name; });
+      const auto service = std::find_if(
+        current->services.begin(), current->services.end(),
+        [&](const RelayServiceConfiguration& aEach) { return aEach.name == endpoint.name; });
       if (service != current->services.end()) {
         endpoint.movesStreams = service->movesStreams;
         endpoint.fetchSecondsPerToken = service->fetchSecondsPerToken;
@@ -493,11 +493,11 @@
   }
   const TimePoint begun = this->clock.Now();
   kLog.Event("draining", { { "open", this->callerServer->OpenExchanges() } });
-  this->callerServer->CloseAfterAnswers();
+  this->callerServer->CloseAfterResponses();
   this->leaderTasks->Drain();
   this->loadExchange->Drain();
   this->keyOwners->Drain();
-  this->limitTokenExchange->OnKeepers();
+  this->limitTokenExchange->OnKeyOwnersChanged();
   this->membership->Drain();
 
   // The load balancer sends callers until it has noticed the drain
--- a/Lagoonward/Daemon/RelayDaemon.h
+++ b/Lagoonward/Daemon/RelayDaemon.h
@@ -3,8 +3,8 @@
 #include "Lagoonward/Attempts/Market.h"
 #include "Lagoonward/Core/Kernel.h"
 #include "Lagoonward/Daemon/CrashExchange.h"
-#include "Lagoonward/Daemon/EndpointNews.h"
-#include "Lagoonward/Daemon/LimitLoans.h"
+#include "Lagoonward/Daemon/EndpointReplicator.h"
+#include "Lagoonward/Daemon/LimitTokenExchange.h"
 #include "Lagoonward/Daemon/LoadExchange.h"
 #include "Lagoonward/Daemon/PermitExchange.h"
 #include "Lagoonward/Daemon/RelayPorts.h"
@@ -42,38 +42,38 @@
   /// effect.
   void OnConfiguration(const std::string& aText);
 
-  /// A record of an endpoint was read. See EndpointNews for this and the next three.
+  /// A record of an endpoint was read. See EndpointReplicator for this and the next three.
   void OnEndpointRecord(EndpointRecord aRecord);
   /// All existing records of endpoints were read.
-  void OnEndpointRecords(std::vector<EndpointRecord> aRecords, std::int64_t aEndVersion);
+  void OnEndpointFullRead(std::vector<EndpointRecord> aRecords, std::int64_t aEndVersion);
   /// The endpoints' source has answered a read.
   /// @param aAsOf        BootNow() at which the read began
   /// @param aEndVersion  all records below this version have been passed
-  void OnEndpointsRead(TimePoint aAsOf, std::int64_t aEndVersion);
+  void OnEndpointReadCompleted(TimePoint aAsOf, std::int64_t aEndVersion);
   /// The endpoints' source has stopped answering, or answers again.
-  void OnEndpointSource(bool aAnswers);
+  void OnEndpointSourceReachability(bool aAnswers);
   /// Interval between two reads of the endpoints' records in the current state.
-  [[nodiscard]] Milliseconds EndpointPace() const;
+  [[nodiscard]] Milliseconds EndpointReadInterval() const;
 
   /// Whether the live daemons are known, as far as this daemon can tell: its view contains other daemons, and the
   /// failure domain of each.
-  [[nodiscard]] bool KnowsDaemons() const;
+  [[nodiscard]] bool KnowsLiveDaemons() const;
 
   /// Whether this daemon is the primary reader, which reads the sources for all daemons.
-  [[nodiscard]] bool ReadsForAll() const;
+  [[nodiscard]] bool IsPrimaryReader() const;
 
   /// Whether other daemons send the configurations, so that this one need not poll for them. To be called by one
   /// thread.
-  [[nodiscard]] bool IsToldOfConfigurations();
+  [[nodiscard]] bool ReceivesConfigurationsFromPeers();
 
   /// All daemons that are listed outside; the seeds of the settings are added to them.
-  void OnDaemons(std::vector<HostEntry> aDaemons);
+  void OnDaemonList(std::vector<HostEntry> aDaemons);
 
   /// The settings have changed at runtime: new seeds are applied at once, other changes need a restart.
   void OnSettings(const RelayDaemonSettings& aSettings);
 
   /// The configuration in force; null before the first.
-  [[nodiscard]] RelayConfigurationPtr InForce() const;
+  [[nodiscard]] RelayConfigurationPtr ConfigurationInForce() const;
 
   /// Current state of this daemon, for its metrics.
   [[nodiscard]] RelayState State() const;
@@ -114,13 +114,13 @@
   MembershipService* membership = nullptr;
   RelayService* relay = nullptr;
   UsageCounter usage;
-  DutyService* leaderTasks = nullptr;
+  LeaderTaskService* leaderTasks = nullptr;
   std::unique_ptr<LoadExchange> loadExchange;
-  std::unique_ptr<KeeperDirectory> keyOwners;
-  std::unique_ptr<LimitLoans> limitTokenExchange;
+  std::unique_ptr<KeyOwnerDirectory> keyOwners;
+  std::unique_ptr<LimitTokenExchange> limitTokenExchange;
   std::unique_ptr<CrashExchange> crashExchange;
   std::unique_ptr<PermitExchange> permitExchange;
-  std::unique_ptr<EndpointNews> endpointReplicator;
+  std::unique_ptr<EndpointReplicator> endpointReplicator;
   std::unique_ptr<HttpServer> callerServer;
   std::unique_ptr<HttpServer> readinessServer;
   std::unique_ptr<HttpServer> metricsServer;
@@ -131,11 +131,11 @@
   std::atomic<bool> draining{ false };
   std::atomic<bool> rejectsRequests{ false }; ///< The drain has no time left for new requests.
   std::string configurationTextInForce;       ///< As published. Control thread only.
-  std::vector<HostEntry> listedDaemons;       ///< From OnDaemons(). Control thread only.
+  std::vector<HostEntry> listedDaemons;       ///< From OnDaemonList(). Control thread only.
   std::string incarnation;                    ///< Identifies this run of this daemon.
   TimePoint startedAt;
   TimePoint
-    upToDateAt; ///< Last time without a newer configuration at a peer. IsToldOfConfigurations() only.
+    upToDateAt; ///< Last time without a newer configuration at a peer. ReceivesConfigurationsFromPeers() only.
   std::vector<SocketAddress> seeds; ///< As in the newest settings. Control thread only.
 };
 
--- a/Lagoonward/Daemon/RelayPorts.h
+++ b/Lagoonward/Daemon/RelayPorts.h
@@ -1,8 +1,8 @@
 #pragma once
 
-#include "Lagoonward/Daemon/DutyService.h"
-#include "Lagoonward/Daemon/EndpointNews.h"
-#include "Lagoonward/Relay/ExchangeCaller.h"
+#include "Lagoonward/Daemon/EndpointReplicator.h"
+#include "Lagoonward/Daemon/LeaderTaskService.h"
+#include "Lagoonward/Relay/HttpRelayCaller.h"
 #include "Lagoonward/Relay/RelayCall.h"
 #include "Lagoonward/Relay/RelayConfiguration.h"
 
@@ -12,7 +12,7 @@
 namespace lagoonward {
 
 /// Decodes requests of callers and encodes errors for them, by the functions of one CallerDialect.
-struct CallerLanguage
+struct AnyCallerDialect
 {
   std::function<Result<RelayCall>(HttpRequest)> read;
   std::function<RelayReply(const Error&)> writeError;
@@ -20,8 +20,8 @@
 
 /// Type-erases a dialect, for code that is compiled once for all dialects.
 template<CallerDialect Dialect>
-[[nodiscard]] CallerLanguage
-CallerLanguageOf(Dialect aDialect)
+[[nodiscard]] AnyCallerDialect
+MakeAnyCallerDialect(Dialect aDialect)
 {
   return { [aDialect](HttpRequest aRequest) { return aDialect.Read(std::move(aRequest)); },
            [aDialect](const Error& aError) { return aDialect.WriteError(aError); } };
@@ -31,11 +31,11 @@
 /// configurations and endpoint records, and the ports of the leader tasks.
 struct RelayPorts
 {
-  CallerLanguage callers;
-  EndpointLanguage endpoints;
+  AnyCallerDialect callers;
+  AnyEndpointDialect endpoints;
   std::function<Result<RelayConfiguration>(std::string_view aText)> decodeConfiguration;
   std::function<Result<Endpoint>(const EndpointRecord&)> decodeEndpoint;
-  DutyPorts duties;
+  LeaderTaskPorts leaderTasks;
 };
 
 } // namespace lagoonward
--- a/Lagoonward/Daemon/RelayReporter.cpp
+++ b/Lagoonward/Daemon/RelayReporter.cpp
@@ -134,7 +134,7 @@
 }
 
 void
-RelayReporter::OnBegan(const RelayCall& aCall)
+RelayReporter::OnStarted(const RelayCall& aCall)
 {
   const std::chrono::duration<double> age = this->clock.Now() - aCall.receivedAt;
   this->firstByte.Add({ { "route", aCall.route->name } }, kLatencyBuckets).Observe(age.count());
@@ -148,11 +148,11 @@
 {
   this->attempts.Add({ { "service", aCall.service }, { "outcome", "failed" } }).Increment();
   kLog.Event("attempt_failed", { { "request", aCall.id },
-                                 { "print", aCall.print },
+                                 { "print", aCall.fingerprint },
                                  { "endpoint", aFailed.endpoint },
                                  { "cause", ToString(aFailed.cause) },
                                  { "reason", aFailed.reason },
-                                 { "goes_on", aFailed.goesOn },
+                                 { "goes_on", aFailed.willRetry },
                                  { "age_ms", this->AgeOf(aCall) } });
 }
 
@@ -172,13 +172,13 @@
 }
 
 void
-RelayReporter::OnEnded(const RelayCall& aCall, const RelayEnd& aEnd)
+RelayReporter::OnEnded(const RelayCall& aCall, const RelayResult& aEnd)
 {
   this->ended.Add({ { "route", aCall.route->name }, { "status", std::to_string(aEnd.status) } })
     .Increment();
   kLog.Event("ended", { { "request", aCall.id },
                         { "status", aEnd.status },
-                        { "whole", aEnd.whole },
+                        { "whole", aEnd.succeeded },
                         { "sends", aEnd.sends },
                         { "endpoint", aEnd.endpoint },
                         { "reason", aEnd.reason },
--- a/Lagoonward/Daemon/RelayReporter.h
+++ b/Lagoonward/Daemon/RelayReporter.h
@@ -62,11 +62,11 @@
   void OnAccepted(const RelayCall& aCall) override;
   void OnSent(const RelayCall& aCall, std::string_view aEndpoint, int aSend,
               const EngineWork& aWork) override;
-  void OnBegan(const RelayCall& aCall) override;
+  void OnStarted(const RelayCall& aCall) override;
   void OnAttemptFailed(const RelayCall& aCall, const FailedAttempt& aFailed) override;
   void OnMoved(const RelayCall& aCall, std::string_view aFrom, std::string_view aTo, bool aMoved,
                std::string_view aReason) override;
-  void OnEnded(const RelayCall& aCall, const RelayEnd& aEnd) override;
+  void OnEnded(const RelayCall& aCall, const RelayResult& aEnd) override;
 
 private:
   [[nodiscard]] std::int64_t AgeOf(const RelayCall& aCall) const;
--- a/Lagoonward/Daemon/RelayTuning.cpp
+++ b/Lagoonward/Daemon/RelayTuning.cpp
@@ -41,9 +41,9 @@
   MarketSettings market;
   // Sizing ensures that no endpoint is idle, so requests need not be packed
   market.routing.packing = 0;
-  market.routing.latencyWorth = kLatencyWorth;
+  market.routing.latencyWeight = kLatencyWorth;
   market.routing.ranksPreempt = false;
-  market.routing.homePull = kHomePull;
+  market.routing.homeAffinity = kHomePull;
   // Half of the retries that are allowed beyond the ratio is the capacity of the budget, the other half is refilled
   // over time, so that no window contains more than both
   const double window = static_cast<double>(aSettings.retryWindow.count());
@@ -56,13 +56,13 @@
   return market;
 }
 
-DutySettings
+LeaderTaskSettings
 LeaderTaskSettingsOf(const RelayDaemonSettings& aSettings)
 {
-  DutySettings leaderTask;
-  leaderTask.quiet = aSettings.leaseQuiet + kQuietMargin;
-  leaderTask.lease.leaseWait = kLeaseWait;
-  leaderTask.lease.spectatorPause = kSpectatorPause;
+  LeaderTaskSettings leaderTask;
+  leaderTask.quietPeriod = aSettings.leaseQuiet + kQuietMargin;
+  leaderTask.lease.leaseReadWait = kLeaseWait;
+  leaderTask.lease.nonCandidateReadInterval = kSpectatorPause;
   leaderTask.lease.leaseRetryPause = kLeaseRetryPause;
   leaderTask.lease.lease = kLease;
   return leaderTask;
--- a/Lagoonward/Daemon/RelayTuning.h
+++ b/Lagoonward/Daemon/RelayTuning.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "Lagoonward/Attempts/Market.h"
-#include "Lagoonward/Daemon/DutyService.h"
+#include "Lagoonward/Daemon/LeaderTaskService.h"
 #include "Lagoonward/Settings/RelayDaemonSettings.h"
 
 namespace lagoonward {
@@ -11,7 +11,7 @@
 MarketSettingsOf(const RelayDaemonSettings& aSettings);
 
 /// Settings of a relay daemon's leader tasks: lease, reports, and quiet time after a change of leader.
-[[nodiscard]] DutySettings
+[[nodiscard]] LeaderTaskSettings
 LeaderTaskSettingsOf(const RelayDaemonSettings& aSettings);
 
 } // namespace lagoonward
--- a/Lagoonward/Daemon/StatusPage.cpp
+++ b/Lagoonward/Daemon/StatusPage.cpp
@@ -72,8 +72,8 @@
   if (!aEndpoint.name.empty()) {
     text["name"] = aEndpoint.name;
   }
-  if (aEndpoint.goneAfter) {
-    const auto timeLeft = *aEndpoint.goneAfter - aClock.Now();
+  if (aEndpoint.availableUntil) {
+    const auto timeLeft = *aEndpoint.availableUntil - aClock.Now();
     text["gone_in_ms"] = std::chrono::duration_cast<Milliseconds>(timeLeft).count();
   }
   if (aEndpoint.load) {
--- a/Lagoonward/Daemon/UsageReporter.cpp
+++ b/Lagoonward/Daemon/UsageReporter.cpp
@@ -32,7 +32,7 @@
 UsageReporter::Step()
 {
   const std::int64_t current = this->usage.CurrentWindow();
-  const std::int64_t oldest = this->usage.OldestReportable();
+  const std::int64_t oldest = this->usage.OldestReportableWindow();
   for (std::int64_t window = oldest; window < current; ++window) {
     if (!this->Report(window)) {
       return;
@@ -44,11 +44,11 @@
 bool
 UsageReporter::Report(std::int64_t aWindow)
 {
-  const auto fencing = this->ports.mayAct();
+  const auto fencing = this->ports.fencingIfLeader();
   if (!fencing || this->reported.contains(aWindow)) {
     return true;
   }
-  const Milliseconds since = this->usage.SinceEndOf(aWindow);
+  const Milliseconds since = this->usage.TimeSinceEnd(aWindow);
   if (!this->ports.isDue(since)) {
     return true;
   }
@@ -125,14 +125,14 @@
 UsageReporter::ExpireBefore(std::int64_t aWindow)
 {
   // Only the leader logs it, as the counts are the sums over all daemons
-  if (this->expiredBefore > 0 && this->ports.mayAct()) {
+  if (this->expiredBefore > 0 && this->ports.fencingIfLeader()) {
     for (std::int64_t window = this->expiredBefore; window < aWindow; ++window) {
       this->LogUnreported(window);
     }
   }
   this->expiredBefore = aWindow;
-  this->ports.forget(aWindow);
-  this->ledger.Forget(aWindow);
+  this->ports.expireBefore(aWindow);
+  this->ledger.EvictBefore(aWindow);
   std::erase_if(this->reported, [&](std::int64_t aEach) { return aEach < aWindow; });
 }
 
--- a/Lagoonward/Daemon/UsageReporter.h
+++ b/Lagoonward/Daemon/UsageReporter.h
@@ -21,7 +21,7 @@
   /// number.
   std::function<Result<void>(const UsageRecord&, Offset aFencing)> report;
   /// The fencing number, if this daemon may act as the leader now.
-  std::function<std::optional<Offset>()> mayAct;
+  std::function<std::optional<Offset>()> fencingIfLeader;
   /// Called when a report was refused because another daemon is the leader.
   std::function<void(Offset aFencing)> onRefused;
 
@@ -30,13 +30,13 @@
   /// Whether a window that ended this long ago can be reported now.
   std::function<bool(Milliseconds aSinceEnd)> isDue;
   /// Called when the counts of windows before the given one are no longer needed.
-  std::function<void(std::int64_t aBefore)> forget;
+  std::function<void(std::int64_t aBefore)> expireBefore;
 };
 
 /// Reports the usage of each window once, on behalf of all daemons. The counts are appended to a log before they are
 /// reported, and the first record of a window in the log is authoritative, so that no two reports of a window differ.
 ///
-/// A window can be reported from when it is due until kUsageReportable after its end, as this daemon may have been
+/// A window can be reported from when it is due until kUsageReportPeriod after its end, as this daemon may have been
 /// suspended or there may have been no leader in the meantime. Usage that is known then and can no longer be reported
 /// is logged (`usage_lost`, `usage_short`). To be used by one thread.
 class UsageReporter
--- a/Lagoonward/Fleet/AnsweredSpan.cpp
+++ b/Lagoonward/Fleet/AvailabilityInterval.cpp
@@ -1,11 +1,11 @@
-#include "Lagoonward/Fleet/AnsweredSpan.h"
+#include "Lagoonward/Fleet/AvailabilityInterval.h"
 
 #include <algorithm>
 
 namespace lagoonward {
 
 void
-AnsweredSpan::Add(const AnsweredSpan& aOther, Milliseconds aGap)
+AvailabilityInterval::Add(const AvailabilityInterval& aOther, Milliseconds aGap)
 {
   if (aOther.until == TimePoint::min()) {
     return;
@@ -22,7 +22,7 @@
 }
 
 bool
-AnsweredSpan::Covers(TimePoint aSince, TimePoint aUntil) const
+AvailabilityInterval::Covers(TimePoint aSince, TimePoint aUntil) const
 {
   return this->until != TimePoint::min() && this->since <= aSince && aUntil <= this->until;
 }
--- a/Lagoonward/Fleet/Endpoint.cpp
+++ b/Lagoonward/Fleet/Endpoint.cpp
@@ -8,7 +8,9 @@
 EndpointKeyOf(const Endpoint& aEndpoint)
 {
   const std::uint64_t key = HashBytes(aEndpoint.id);
-  return aEndpoint.born == 0 ? key : CombineHashes(key, static_cast<std::uint64_t>(aEndpoint.born));
+  return aEndpoint.incarnation == 0
+           ? key
+           : CombineHashes(key, static_cast<std::uint64_t>(aEndpoint.incarnation));
 }
 
 } // namespace lagoonward
--- a/Lagoonward/Fleet/Endpoint.h
+++ b/Lagoonward/Fleet/Endpoint.h
@@ -57,7 +57,7 @@
   std::string id; ///< Id of the host in the host list.
   /// Unix time of its start in milliseconds, which identifies one instance of the id; zero if not reported. A later
   /// instance has no state of an earlier one.
-  std::int64_t born = 0;
+  std::int64_t incarnation = 0;
   EndpointKind kind = EndpointKind::Engine;
   std::string address; ///< IP address.
   std::uint16_t port = 0;
@@ -71,8 +71,9 @@
   double fetchSecondsPerToken = 0; ///< Of a prompt token cached elsewhere; zero if it cannot fetch.
   int sequences = 0;               ///< Requests that it can run concurrently; zero if not reported.
   double pricePerHour = 0;         ///< Zero if no price is known.
-  std::optional<TimePoint> goneAfter; ///< Time until which a leaving host is guaranteed to run.
-  std::optional<EndpointLoad> load;   ///< Empty until the first report.
+  std::optional<TimePoint>
+    availableUntil;                 ///< Time until which a leaving host is guaranteed to run.
+  std::optional<EndpointLoad> load; ///< Empty until the first report.
 };
 
 /// The key of one instance of an endpoint in all tables, so that cached prompts, requests in flight and failures of
--- a/Lagoonward/Fleet/EndpointDirectory.cpp
+++ b/Lagoonward/Fleet/EndpointDirectory.cpp
@@ -16,10 +16,10 @@
 EndpointDirectory::OnEntry(Endpoint aEndpoint)
 {
   Entry& entry = this->entries[aEndpoint.id];
-  if (aEndpoint.born < entry.endpoint.born) {
+  if (aEndpoint.incarnation < entry.endpoint.incarnation) {
     return false;
   }
-  if (aEndpoint.born > entry.endpoint.born) {
+  if (aEndpoint.incarnation > entry.endpoint.incarnation) {
     entry = {};
   }
   const Endpoint& known = entry.endpoint;
@@ -68,7 +68,7 @@
 }
 
 void
-EndpointDirectory::OnSourceSeen(const AnsweredSpan& aSpan)
+EndpointDirectory::AddSourceAvailability(const AvailabilityInterval& aSpan)
 {
   this->availability.Add(aSpan, this->settings.shortestOutage);
 }
@@ -90,7 +90,7 @@
 }
 
 bool
-EndpointDirectory::OnWhole(const std::vector<std::string>& aIds)
+EndpointDirectory::OnFullRead(const std::vector<std::string>& aIds)
 {
   std::vector<std::string> missing;
   for (const auto& [id, entry] : this->entries) {
@@ -106,7 +106,7 @@
 }
 
 void
-EndpointDirectory::OnSource(bool aAvailable)
+EndpointDirectory::SetSourceAvailable(bool aAvailable)
 {
   if (aAvailable && !this->sourceAvailable) {
     this->outageEnd = this->clock.Now();
--- a/Lagoonward/Fleet/EndpointDirectory.h
+++ b/Lagoonward/Fleet/EndpointDirectory.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "Lagoonward/Core/Clock.h"
-#include "Lagoonward/Fleet/AnsweredSpan.h"
+#include "Lagoonward/Fleet/AvailabilityInterval.h"
 #include "Lagoonward/Fleet/FleetSnapshot.h"
 
 #include <map>
@@ -49,13 +49,13 @@
 
   /// Handles a full read of the source: entries that are not among aIds are removed.
   /// @return whether the snapshot has changed
-  bool OnWhole(const std::vector<std::string>& aIds);
+  bool OnFullRead(const std::vector<std::string>& aIds);
 
   /// Sets whether the source responds.
-  void OnSource(bool aAvailable);
+  void SetSourceAvailable(bool aAvailable);
 
   /// Adds an interval during which this host or another one observed that the source responded.
-  void OnSourceSeen(const AnsweredSpan& aSpan);
+  void AddSourceAvailability(const AvailabilityInterval& aSpan);
 
   /// Removes missing entries whose grace period has ended, and evicts old removed ones. To be called every few hundred
   /// milliseconds.
@@ -84,7 +84,7 @@
   bool sourceAvailable = true;
   std::optional<TimePoint> outageStart; ///< Start of the last outage.
   std::optional<TimePoint> outageEnd;   ///< End of the last outage.
-  AnsweredSpan availability;            ///< Merged from the observations of all hosts.
+  AvailabilityInterval availability;    ///< Merged from the observations of all hosts.
   std::uint64_t generation = 0;
 };
 
--- a/Lagoonward/Frontend/AnswerWriters.cpp
+++ b/Lagoonward/Frontend/AnswerWriters.cpp
@@ -88,9 +88,9 @@
 }
 
 bool
-JsonAnswerWriter::IsGone()
+JsonAnswerWriter::IsDisconnected()
 {
-  return this->exchange->IsCallerGone();
+  return this->exchange->IsCallerDisconnected();
 }
 
 EventAnswerWriter::EventAnswerWriter(HttpExchangePtr aExchange, const AnswerFormat& aFormat)
@@ -130,9 +130,9 @@
 }
 
 bool
-EventAnswerWriter::IsGone()
+EventAnswerWriter::IsDisconnected()
 {
-  return this->disconnected || this->exchange->IsCallerGone();
+  return this->disconnected || this->exchange->IsCallerDisconnected();
 }
 
 void
@@ -206,9 +206,9 @@
 }
 
 bool
-ServiceAnswerWriter::IsGone()
+ServiceAnswerWriter::IsDisconnected()
 {
-  return this->exchange->IsCallerGone();
+  return this->exchange->IsCallerDisconnected();
 }
 
 } // namespace lagoonward
--- a/Lagoonward/Frontend/AnswerWriters.h
+++ b/Lagoonward/Frontend/AnswerWriters.h
@@ -19,7 +19,7 @@
 public:
   JsonAnswerWriter(HttpExchangePtr aExchange, const AnswerFormat& aFormat);
   void OnChanged(const Answer& aAnswer) override;
-  [[nodiscard]] bool IsGone() override;
+  [[nodiscard]] bool IsDisconnected() override;
 
 private:
   HttpExchangePtr exchange;
@@ -34,7 +34,7 @@
 public:
   EventAnswerWriter(HttpExchangePtr aExchange, const AnswerFormat& aFormat);
   void OnChanged(const Answer& aAnswer) override;
-  [[nodiscard]] bool IsGone() override;
+  [[nodiscard]] bool IsDisconnected() override;
 
 private:
   void BeginStream(const Answer& aAnswer);
@@ -46,8 +46,8 @@
   std::size_t nextToken; ///< Index of the first token that has not been written.
   bool streamStarted = false;
   bool disconnected = false; ///< The caller has disconnected or reads too slowly.
-  std::string eventPrefix;   ///< Part of a token's event between its id and its text.
-  std::string eventSuffix;   ///< Part of a token's event after its text.
+  std::string eventPrefix;   ///< ReadCallback of a token's event between its id and its text.
+  std::string eventSuffix;   ///< ReadCallback of a token's event after its text.
   std::string buffer; ///< Events of one call of OnChanged(); a member so that its memory is reused.
 };
 
@@ -57,7 +57,7 @@
 public:
   explicit ServiceAnswerWriter(HttpExchangePtr aExchange);
   void OnChanged(const Answer& aAnswer) override;
-  [[nodiscard]] bool IsGone() override;
+  [[nodiscard]] bool IsDisconnected() override;
 
 private:
   HttpExchangePtr exchange;
--- a/Lagoonward/Frontend/CallReader.cpp
+++ b/Lagoonward/Frontend/CallReader.cpp
@@ -207,8 +207,9 @@
     return Invalid("\"model\" must be a string.");
   }
   EngineCall& engine = request.call.engine;
-  request.call.askedModel = model->get<std::string>();
-  if (const auto resolved = ResolveModel(aConfiguration.manifest, request.call.askedModel, engine);
+  request.call.requestedModel = model->get<std::string>();
+  if (const auto resolved =
+        ResolveModel(aConfiguration.manifest, request.call.requestedModel, engine);
       !resolved) {
     return resolved.error();
   }
--- a/Lagoonward/Frontend/CallerApi.cpp
+++ b/Lagoonward/Frontend/CallerApi.cpp
@@ -114,7 +114,7 @@
     RespondWithError(*aExchange, market.error());
     return;
   }
-  const ConfigurationPtr inForce = market.value()->InForce();
+  const ConfigurationPtr inForce = market.value()->ConfigurationInForce();
   auto request = this->reader.ReadCompletion(aRequest, *inForce);
   if (!request) {
     RespondWithError(*aExchange, request.error());
@@ -137,7 +137,7 @@
     RespondWithError(*aExchange, market.error());
     return;
   }
-  const ConfigurationPtr inForce = market.value()->InForce();
+  const ConfigurationPtr inForce = market.value()->ConfigurationInForce();
   auto call = this->reader.ReadService(aRequest, *inForce);
   if (!call) {
     RespondWithError(*aExchange, call.error());
@@ -152,7 +152,7 @@
 {
   const std::string name(aRequest.Header(kMarketHeader));
   if (name.empty()) {
-    const std::vector<MarketPtr> inForce = this->markets.InForce();
+    const std::vector<MarketPtr> inForce = this->markets.ConfiguredMarkets();
     if (inForce.size() == 1) {
       return inForce.front();
     }
@@ -171,10 +171,10 @@
     return Error(ErrorKind::NoConfiguration,
                  "The market's configuration is not known yet; it is being read.");
   }
-  if (market->InForce() != nullptr) {
+  if (market->ConfigurationInForce() != nullptr) {
     return market;
   }
-  if (market->IsKnownEmpty()) {
+  if (market->IsKnownUnconfigured()) {
     return Error(ErrorKind::UnknownMarket, "No manifest was published for this market.");
   }
   return Error(ErrorKind::NoConfiguration,
--- a/Lagoonward/Leadership/LeaseKeeper.cpp
+++ b/Lagoonward/Leadership/LeaseManager.cpp
@@ -1,4 +1,4 @@
-#include "Lagoonward/Leadership/LeaseKeeper.h"
+#include "Lagoonward/Leadership/LeaseManager.h"
 
 #include <algorithm>
 
@@ -18,8 +18,8 @@
 
 } // namespace
 
-LeaseKeeper::LeaseKeeper(const LeaseSettings& aSettings, const Clock& aClock, std::string aHolder,
-                         std::string aIncarnation)
+LeaseManager::LeaseManager(const LeaseSettings& aSettings, const Clock& aClock, std::string aHolder,
+                           std::string aIncarnation)
   : settings(aSettings)
   , clock(aClock)
   , holder(std::move(aHolder))
@@ -28,19 +28,19 @@
 }
 
 void
-LeaseKeeper::SetRank(int aRank)
+LeaseManager::SetRank(int aRank)
 {
   this->rank = std::max(0, aRank);
 }
 
 bool
-LeaseKeeper::IsOwn(const LeaseRecord& aRecord) const
+LeaseManager::IsOwn(const LeaseRecord& aRecord) const
 {
   return aRecord.writer.incarnation == this->incarnation;
 }
 
 void
-LeaseKeeper::ObservePage(const LogPage& aPage)
+LeaseManager::ObservePage(const LogPage& aPage)
 {
   this->ledger.ObserveStart(aPage.start);
   for (const LogRecord& record : aPage.records) {
@@ -70,7 +70,7 @@
 }
 
 bool
-LeaseKeeper::MayAcquire() const
+LeaseManager::MayAcquire() const
 {
   if (!this->observedAt || this->rank >= this->settings.candidates) {
     return false;
@@ -95,7 +95,7 @@
 }
 
 std::optional<std::string>
-LeaseKeeper::NextAppend()
+LeaseManager::NextAppend()
 {
   const TimePoint now = this->clock.BootNow();
   const LeaseInForce* current = this->ledger.InForce();
@@ -120,7 +120,7 @@
 }
 
 std::string
-LeaseKeeper::MakeRecord(Milliseconds aDuration)
+LeaseManager::MakeRecord(Milliseconds aDuration)
 {
   const LeaseInForce* current = this->ledger.InForce();
   LeaseRecord record;
@@ -144,19 +144,19 @@
 }
 
 void
-LeaseKeeper::Resign()
+LeaseManager::Resign()
 {
   this->resigning = true;
 }
 
 bool
-LeaseKeeper::Holds() const
+LeaseManager::Holds() const
 {
   return !this->resigning && this->leaseEnd && this->clock.BootNow() < *this->leaseEnd;
 }
 
 Result<OrderGrant>
-LeaseKeeper::Authorize(OrderKind aKind, bool aChecksFencing) const
+LeaseManager::Authorize(OrderKind aKind, bool aChecksFencing) const
 {
   const LeaseInForce* current = this->ledger.InForce();
   const bool isLatestHolder = current != nullptr && this->IsOwn(current->record) && this->leaseEnd;
@@ -174,7 +174,7 @@
 }
 
 std::string_view
-LeaseKeeper::Leader() const
+LeaseManager::Leader() const
 {
   const LeaseInForce* current = this->ledger.InForce();
   const bool leads = current != nullptr && current->record.duration > Milliseconds::zero();
@@ -182,7 +182,7 @@
 }
 
 Offset
-LeaseKeeper::NextOffset() const
+LeaseManager::NextOffset() const
 {
   return this->ledger.NextOffset();
 }
--- a/Lagoonward/Leadership/LeaseKeeper.h
+++ b/Lagoonward/Leadership/LeaseManager.h
@@ -28,13 +28,13 @@
 /// Acquires, renews and releases the lease of one market and region. Does no I/O: the caller appends the record that
 /// NextAppend() returns, reads the stream from NextOffset() and passes each page to ObservePage(). Replies to appends
 /// are not used, so a lost reply has no effect. Not thread-safe; see docs/design/leases.md.
-class LeaseKeeper
+class LeaseManager
 {
 public:
   /// @param aHolder       this daemon's id
   /// @param aIncarnation  id of this run of the daemon, see MakeIncarnation()
-  LeaseKeeper(const LeaseSettings& aSettings, const Clock& aClock, std::string aHolder,
-              std::string aIncarnation);
+  LeaseManager(const LeaseSettings& aSettings, const Clock& aClock, std::string aHolder,
+               std::string aIncarnation);
 
   /// Sets the rank of this daemon in the region by rendezvous weight; zero is the first candidate.
   void SetRank(int aRank);
--- a/Lagoonward/Leadership/LeaseRecord.cpp
+++ b/Lagoonward/Leadership/LeaseRecord.cpp
@@ -45,7 +45,7 @@
 }
 
 std::string
-LeaseStream(std::string_view aMarket, std::string_view aRegion)
+LeaseStreamName(std::string_view aMarket, std::string_view aRegion)
 {
   return "lease/" + std::string(aMarket) + "/" + std::string(aRegion);
 }
--- a/Lagoonward/Leadership/LeaseRecord.h
+++ b/Lagoonward/Leadership/LeaseRecord.h
@@ -33,6 +33,6 @@
 
 /// Name of the stream of one market and region.
 [[nodiscard]] std::string
-LeaseStream(std::string_view aMarket, std::string_view aRegion);
+LeaseStreamName(std::string_view aMarket, std::string_view aRegion);
 
 } // namespace lagoonward
--- a/Lagoonward/Membership/AggregationPlan.cpp
+++ b/Lagoonward/Membership/AggregationPlan.cpp
@@ -72,23 +72,23 @@
 } // namespace
 
 bool
-AggregationPlan::IsFirst(PeerKey aDaemon) const
+AggregationPlan::IsPrimaryAggregator(PeerKey aDaemon) const
 {
-  return !this->own.empty() && this->own.front().key == aDaemon;
+  return !this->ownAggregators.empty() && this->ownAggregators.front().key == aDaemon;
 }
 
 bool
 AggregationPlan::IsAggregator(PeerKey aDaemon) const
 {
-  return ContainsKey(this->own, aDaemon);
+  return ContainsKey(this->ownAggregators, aDaemon);
 }
 
 int
 AggregationPlan::RankOf(PeerKey aDaemon) const
 {
-  const auto found = std::find_if(this->candidates.begin(), this->candidates.end(),
+  const auto found = std::find_if(this->allAggregators.begin(), this->allAggregators.end(),
                                   [&](const PeerAddress& aEach) { return aEach.key == aDaemon; });
-  return static_cast<int>(found - this->candidates.begin());
+  return static_cast<int>(found - this->allAggregators.begin());
 }
 
 AggregationPlan
@@ -100,7 +100,7 @@
   AssignGroups(daemons, domains, aSettings.maximumGroupSize);
   AggregationPlan plan;
   plan.group = daemons.front().group;
-  plan.daemons = static_cast<int>(daemons.size());
+  plan.daemonCount = static_cast<int>(daemons.size());
   std::sort(daemons.begin(), daemons.end(),
             [](const Participant& aLeft, const Participant& aRight) {
               return aLeft.weight > aRight.weight;
@@ -116,14 +116,14 @@
   for (const Participant& each : daemons) {
     const bool isOwn = each.group == plan.group;
     if (isOwn && each.address.key != aSelf.Key()) {
-      plan.members.push_back(each.address);
+      plan.groupMembers.push_back(each.address);
     }
     if (!each.mayAggregate || selectedPerGroup[each.group] >= aggregatorsPerGroup) {
       continue;
     }
     ++selectedPerGroup[each.group];
-    plan.candidates.push_back(each.address);
-    (isOwn ? plan.own : plan.others).push_back(each.address);
+    plan.allAggregators.push_back(each.address);
+    (isOwn ? plan.ownAggregators : plan.otherAggregators).push_back(each.address);
   }
   return plan;
 }
--- a/Lagoonward/Membership/AggregationPlan.h
+++ b/Lagoonward/Membership/AggregationPlan.h
@@ -28,15 +28,16 @@
 /// recipient.
 struct AggregationPlan
 {
-  std::uint64_t group = 0;             ///< Identifier of this daemon's group.
-  std::vector<PeerAddress> own;        ///< Aggregators of this daemon's group, the primary first.
-  std::vector<PeerAddress> others;     ///< Aggregators of all other groups.
-  std::vector<PeerAddress> candidates; ///< All aggregators, highest rank first.
-  std::vector<PeerAddress> members;    ///< Daemons of this daemon's group, excluding itself.
-  int daemons = 1;                     ///< Number of daemons in the plan, including this one.
+  std::uint64_t group = 0; ///< Identifier of this daemon's group.
+  std::vector<PeerAddress>
+    ownAggregators; ///< Aggregators of this daemon's group, the primary first.
+  std::vector<PeerAddress> otherAggregators; ///< Aggregators of all other groups.
+  std::vector<PeerAddress> allAggregators;   ///< All aggregators, highest rank first.
+  std::vector<PeerAddress> groupMembers;     ///< Daemons of this daemon's group, excluding itself.
+  int daemonCount = 1;                       ///< Number of daemons in the plan, including this one.
 
   /// Whether the daemon is the primary aggregator of this daemon's group.
-  [[nodiscard]] bool IsFirst(PeerKey aDaemon) const;
+  [[nodiscard]] bool IsPrimaryAggregator(PeerKey aDaemon) const;
 
   /// Whether the daemon is one of the aggregators of this daemon's group.
   [[nodiscard]] bool IsAggregator(PeerKey aDaemon) const;
--- a/Lagoonward/Membership/DelayMeter.cpp
+++ b/Lagoonward/Membership/DelayEstimator.cpp
@@ -1,17 +1,17 @@
-#include "Lagoonward/Membership/DelayMeter.h"
+#include "Lagoonward/Membership/DelayEstimator.h"
 
 #include <algorithm>
 #include <utility>
 
 namespace lagoonward {
 
-DelayMeter::DelayMeter(const DelayEstimatorSettings& aSettings)
+DelayEstimator::DelayEstimator(const DelayEstimatorSettings& aSettings)
   : settings(aSettings)
 {
 }
 
 Milliseconds
-DelayMeter::OnMessage(Milliseconds aSentAt, TimePoint aNow)
+DelayEstimator::OnMessage(Milliseconds aSentAt, TimePoint aNow)
 {
   const auto now = std::chrono::floor<Milliseconds>(aNow.time_since_epoch());
   const Milliseconds difference = now - aSentAt;
@@ -33,7 +33,7 @@
 }
 
 void
-DelayMeter::Restart(Milliseconds aDifference, TimePoint aNow)
+DelayEstimator::Restart(Milliseconds aDifference, TimePoint aNow)
 {
   this->hasSample = true;
   this->windowMinimum = aDifference;
--- a/Lagoonward/Membership/DelayMeter.h
+++ b/Lagoonward/Membership/DelayEstimator.h
@@ -6,7 +6,7 @@
 
 namespace lagoonward {
 
-/// Tunables of a DelayMeter.
+/// Tunables of a DelayEstimator.
 struct DelayEstimatorSettings
 {
   /// The minimum delay is taken over at least this long, and at most twice as long. The minimum must expire
@@ -21,10 +21,10 @@
 /// The difference between send time and arrival time is the delay plus an unknown clock offset; subtracting the minimum
 /// difference (the "base delay" of RFC 6817) removes the offset. The delay common to all messages is removed as well;
 /// between hosts of one deployment it is a few milliseconds. Not thread-safe.
-class DelayMeter
+class DelayEstimator
 {
 public:
-  explicit DelayMeter(const DelayEstimatorSettings& aSettings = {});
+  explicit DelayEstimator(const DelayEstimatorSettings& aSettings = {});
 
   /// Handles an arrived message.
   /// @param aSentAt  sender's monotonic clock at the time of sending, from any epoch
--- a/Lagoonward/Membership/ChangeQueue.cpp
+++ b/Lagoonward/Membership/DisseminationQueue.cpp
@@ -1,4 +1,4 @@
-#include "Lagoonward/Membership/ChangeQueue.h"
+#include "Lagoonward/Membership/DisseminationQueue.h"
 
 namespace lagoonward {
 
@@ -18,15 +18,15 @@
 } // namespace
 
 void
-ChangeQueue::Add(PeerKey aKey)
+DisseminationQueue::Add(PeerKey aKey)
 {
   std::erase_if(this->items, [&](const Item& aItem) { return aItem.key == aKey; });
   this->items.push_front({ aKey, 0 });
 }
 
 void
-ChangeQueue::Take(std::size_t aBytes, std::size_t aMaximumSends, const ChangeLookup& aLookup,
-                  std::vector<PeerChange>& aTarget)
+DisseminationQueue::SelectForDatagram(std::size_t aBytes, std::size_t aMaximumSends,
+                                      const ChangeLookup& aLookup, std::vector<PeerChange>& aTarget)
 {
   std::size_t used = 0;
   for (std::size_t remaining = this->items.size(); remaining > 0; --remaining) {
@@ -52,13 +52,13 @@
 }
 
 std::size_t
-ChangeQueue::WireBytes(const PeerChange& aChange)
+DisseminationQueue::WireBytes(const PeerChange& aChange)
 {
   return kChangeBytes + (aChange.info ? kInfoOverhead + InfoBytes(*aChange.info) : 0);
 }
 
 bool
-ChangeQueue::Fits(const PeerInfo& aInfo)
+DisseminationQueue::FitsInDatagram(const PeerInfo& aInfo)
 {
   return InfoBytes(aInfo) <= kMaximumInfoBytes;
 }
--- a/Lagoonward/Membership/ChangeQueue.h
+++ b/Lagoonward/Membership/DisseminationQueue.h
@@ -11,7 +11,7 @@
 
 /// Queue of membership changes to disseminate. Each change is sent in a bounded number of datagrams; changes
 /// sent least often come first, and a datagram gets only the changes that fit. Performs no I/O. Not thread-safe.
-class ChangeQueue
+class DisseminationQueue
 {
 public:
   /// Returns the current change record of a daemon, or nothing if the daemon is no longer in the peer table.
@@ -25,14 +25,14 @@
   /// @param aMaximumSends  number of datagrams in which each change is sent
   /// @param aLookup        returns the current change record of a daemon
   /// @param aTarget        receives the changes, appended to its content
-  void Take(std::size_t aBytes, std::size_t aMaximumSends, const ChangeLookup& aLookup,
-            std::vector<PeerChange>& aTarget);
+  void SelectForDatagram(std::size_t aBytes, std::size_t aMaximumSends, const ChangeLookup& aLookup,
+                         std::vector<PeerChange>& aTarget);
 
   /// Encoded size of a change, in bytes.
   [[nodiscard]] static std::size_t WireBytes(const PeerChange& aChange);
 
   /// Whether the strings of this daemon fit into a datagram.
-  [[nodiscard]] static bool Fits(const PeerInfo& aInfo);
+  [[nodiscard]] static bool FitsInDatagram(const PeerInfo& aInfo);
 
 private:
   struct Item
--- a/Lagoonward/Membership/EndpointFact.cpp
+++ b/Lagoonward/Membership/EndpointFact.cpp
@@ -40,11 +40,11 @@
   return Saturate(std::chrono::duration_cast<Milliseconds>(aAge) / kLoadAgeUnit);
 }
 
-LoadFact
-ToLoadFact(EndpointKey aKey, const EndpointLoad& aLoad, std::chrono::nanoseconds aAge,
-           std::uint32_t aProfile)
+EndpointLoadUpdate
+ToEndpointLoadUpdate(EndpointKey aKey, const EndpointLoad& aLoad, std::chrono::nanoseconds aAge,
+                     std::uint32_t aProfile)
 {
-  LoadFact fact;
+  EndpointLoadUpdate fact;
   fact.key = aKey;
   fact.asOf = static_cast<std::uint32_t>(ToUnixMilliseconds(aLoad.asOf));
   fact.age = ToAgeUnits(aAge);
@@ -60,7 +60,7 @@
 }
 
 EndpointLoad
-ToEndpointLoad(const LoadFact& aFact, const EndpointProfile& aProfile, WallTime aAsOf)
+ToEndpointLoad(const EndpointLoadUpdate& aFact, const EndpointProfile& aProfile, WallTime aAsOf)
 {
   EndpointLoad load;
   load.waiting = aFact.waiting;
@@ -75,7 +75,8 @@
 }
 
 bool
-DiffersSignificantly(const LoadFact& aLeft, const LoadFact& aRight, double aFraction)
+DiffersSignificantly(const EndpointLoadUpdate& aLeft, const EndpointLoadUpdate& aRight,
+                     double aFraction)
 {
   return aLeft.profile != aRight.profile ||
          CountsDiffer(aLeft.waiting, aRight.waiting, aFraction) ||
@@ -84,10 +85,11 @@
 }
 
 bool
-Supersedes(const StateFact& aUpdate, const EndpointFact& aKnown)
+Supersedes(const EndpointStateUpdate& aUpdate, const EndpointFact& aKnown)
 {
   if (aKnown.state == EndpointState::Leaving) {
-    return aUpdate.state == EndpointState::Leaving && aUpdate.graceLeft > 0 && !aKnown.goneAfter;
+    return aUpdate.state == EndpointState::Leaving && aUpdate.graceLeft > 0 &&
+           !aKnown.availableUntil;
   }
   return aUpdate.state == EndpointState::Leaving || aUpdate.version > aKnown.stateVersion;
 }
--- a/Lagoonward/Membership/LoadWatch.cpp
+++ b/Lagoonward/Membership/EndpointMonitor.cpp
@@ -1,11 +1,12 @@
-#include "Lagoonward/Membership/LoadWatch.h"
+#include "Lagoonward/Membership/EndpointMonitor.h"
 
 #include <algorithm>
 #include <limits>
 
 namespace lagoonward {
 
-LoadWatch::LoadWatch(const Clock& aClock, PeerKey aSelf, LoadWatchSettings aSettings)
+EndpointMonitor::EndpointMonitor(const Clock& aClock, PeerKey aSelf,
+                                 EndpointMonitorSettings aSettings)
   : clock(aClock)
   , self(aSelf)
   , settings(aSettings)
@@ -16,7 +17,7 @@
 }
 
 void
-LoadWatch::SetEndpoints(std::vector<HostEntry> aEndpoints)
+EndpointMonitor::SetEndpoints(std::vector<HostEntry> aEndpoints)
 {
   std::unordered_map<EndpointKey, EndpointFact> next;
   for (HostEntry& host : aEndpoints) {
@@ -39,7 +40,7 @@
 
   for (auto& [key, fact] : this->facts) {
     if (fact.host.leaving) {
-      this->Merge(StateFact{ key, EndpointState::Leaving, fact.stateVersion + 1, 0 });
+      this->Merge(EndpointStateUpdate{ key, EndpointState::Leaving, fact.stateVersion + 1, 0 });
     }
     const auto pending = this->pendingUpdates.extract(key);
     if (!pending.empty()) {
@@ -50,14 +51,14 @@
 }
 
 void
-LoadWatch::SetPollers(std::span<const PeerKey> aDaemons)
+EndpointMonitor::SetPollers(std::span<const PeerKey> aDaemons)
 {
   this->daemons.assign(aDaemons.begin(), aDaemons.end());
   this->UpdatePolledEndpoints();
 }
 
 std::vector<HostEntry>
-LoadWatch::DuePolls()
+EndpointMonitor::DuePolls()
 {
   const TimePoint now = this->clock.Now();
   std::vector<HostEntry> due;
@@ -75,7 +76,7 @@
 }
 
 void
-LoadWatch::OnPolled(const std::string& aEndpointId, const Result<EndpointLoad>& aLoad)
+EndpointMonitor::OnPolled(const std::string& aEndpointId, const Result<EndpointLoad>& aLoad)
 {
   const EndpointKey key = ToEndpointKey(aEndpointId);
   const auto fact = this->facts.find(key);
@@ -92,7 +93,7 @@
 }
 
 bool
-LoadWatch::Report(const std::string& aEndpointId, EndpointState aState, Milliseconds aGrace)
+EndpointMonitor::Report(const std::string& aEndpointId, EndpointState aState, Milliseconds aGrace)
 {
   const EndpointKey key = ToEndpointKey(aEndpointId);
   const auto known = this->facts.find(key);
@@ -102,11 +103,12 @@
   }
   const auto grace =
     std::clamp<std::int64_t>(aGrace.count(), 0, std::numeric_limits<std::uint32_t>::max());
-  return this->Merge(StateFact{ key, aState, version, static_cast<std::uint32_t>(grace) });
+  return this->Merge(
+    EndpointStateUpdate{ key, aState, version, static_cast<std::uint32_t>(grace) });
 }
 
 bool
-LoadWatch::Merge(const LoadFact& aFact)
+EndpointMonitor::Merge(const EndpointLoadUpdate& aFact)
 {
   const auto found = this->facts.find(aFact.key);
   if (found == this->facts.end()) {
@@ -128,7 +130,7 @@
 }
 
 bool
-LoadWatch::Merge(const StateFact& aFact)
+EndpointMonitor::Merge(const EndpointStateUpdate& aFact)
 {
   const auto found = this->facts.find(aFact.key);
   if (found != this->facts.end()) {
@@ -149,15 +151,16 @@
   return isPending;
 }
 
-std::vector<LoadFact>
-LoadWatch::TakeLoads(std::size_t aBytes, std::size_t aReceivers)
+std::vector<EndpointLoadUpdate>
+EndpointMonitor::TakeLoads(std::size_t aBytes, std::size_t aReceivers)
 {
   this->RefillBudget();
-  const double cost = static_cast<double>(kLoadFactBytes * std::max<std::size_t>(1, aReceivers));
-  std::vector<LoadFact> loads;
+  const double cost =
+    static_cast<double>(kEndpointLoadUpdateBytes * std::max<std::size_t>(1, aReceivers));
+  std::vector<EndpointLoadUpdate> loads;
   std::size_t taken = 0;
-  while (taken < this->queuedLoads.size() && (loads.size() + 1) * kLoadFactBytes <= aBytes &&
-         this->budget >= cost) {
+  while (taken < this->queuedLoads.size() &&
+         (loads.size() + 1) * kEndpointLoadUpdateBytes <= aBytes && this->budget >= cost) {
     const auto found = this->facts.find(this->queuedLoads[taken++]);
     if (found == this->facts.end()) {
       continue;
@@ -174,10 +177,10 @@
   return loads;
 }
 
-std::vector<StateFact>
-LoadWatch::TakeStates(std::size_t aLimit)
+std::vector<EndpointStateUpdate>
+EndpointMonitor::TakeStates(std::size_t aLimit)
 {
-  std::vector<StateFact> states;
+  std::vector<EndpointStateUpdate> states;
   while (!this->queuedStates.empty() && states.size() < aLimit) {
     const EndpointKey key = this->queuedStates.back();
     this->queuedStates.pop_back();
@@ -195,10 +198,10 @@
   return states;
 }
 
-std::vector<StateFact>
-LoadWatch::AllStates() const
+std::vector<EndpointStateUpdate>
+EndpointMonitor::AllStates() const
 {
-  std::vector<StateFact> states;
+  std::vector<EndpointStateUpdate> states;
   for (const auto& [key, fact] : this->facts) {
     if (!IsInitialState(fact)) {
       states.push_back(this->WithGrace(fact));
@@ -207,10 +210,10 @@
   return states;
 }
 
-std::vector<LoadFact>
-LoadWatch::AllLoads() const
+std::vector<EndpointLoadUpdate>
+EndpointMonitor::AllLoads() const
 {
-  std::vector<LoadFact> loads;
+  std::vector<EndpointLoadUpdate> loads;
   for (const auto& [key, fact] : this->facts) {
     if (this->IsFresh(fact)) {
       loads.push_back(this->WithAge(*fact.load, fact.observedAt));
@@ -220,7 +223,7 @@
 }
 
 void
-LoadWatch::AddProfile(EndpointProfile aProfile)
+EndpointMonitor::AddProfile(EndpointProfile aProfile)
 {
   if (this->profiles.size() >= this->settings.maximumProfiles) {
     this->profiles.clear();
@@ -230,20 +233,20 @@
 }
 
 const EndpointProfile*
-LoadWatch::FindProfile(std::uint32_t aHash) const
+EndpointMonitor::FindProfile(std::uint32_t aHash) const
 {
   const auto found = this->profiles.find(aHash);
   return found == this->profiles.end() ? nullptr : &found->second;
 }
 
 const std::unordered_map<EndpointKey, EndpointFact>&
-LoadWatch::Facts() const
+EndpointMonitor::Facts() const
 {
   return this->facts;
 }
 
 std::optional<EndpointLoad>
-LoadWatch::LoadOf(const EndpointFact& aFact) const
+EndpointMonitor::LoadOf(const EndpointFact& aFact) const
 {
   const EndpointProfile* const profile =
     aFact.load ? this->FindProfile(aFact.load->profile) : nullptr;
@@ -256,13 +259,13 @@
 }
 
 std::size_t
-LoadWatch::WatchedCount() const
+EndpointMonitor::PolledCount() const
 {
   return this->pollStates.size();
 }
 
 std::uint64_t
-LoadWatch::StateDigest() const
+EndpointMonitor::StateDigest() const
 {
   std::uint64_t digest = 0;
   for (const auto& [key, fact] : this->facts) {
@@ -274,7 +277,7 @@
 }
 
 void
-LoadWatch::UpdatePolledEndpoints()
+EndpointMonitor::UpdatePolledEndpoints()
 {
   std::unordered_map<EndpointKey, PollState> next;
   const TimePoint now = this->clock.Now();
@@ -303,7 +306,7 @@
 }
 
 void
-LoadWatch::OnPollFailed(EndpointFact& aFact, PollState& aPollState)
+EndpointMonitor::OnPollFailed(EndpointFact& aFact, PollState& aPollState)
 {
   if (aPollState.failures++ == 0) {
     aPollState.failingSince = this->clock.Now();
@@ -317,13 +320,14 @@
 }
 
 void
-LoadWatch::OnPollSucceeded(EndpointFact& aFact, PollState& aPollState, const EndpointLoad& aLoad)
+EndpointMonitor::OnPollSucceeded(EndpointFact& aFact, PollState& aPollState,
+                                 const EndpointLoad& aLoad)
 {
   aPollState.failures = 0;
   if (aFact.state == EndpointState::Ejected) {
     this->ApplyState(aFact, { aFact.key, EndpointState::Live, aFact.stateVersion + 1, 0 });
   }
-  const LoadFact sample = this->ToFact(aFact.key, aLoad);
+  const EndpointLoadUpdate sample = this->ToFact(aFact.key, aLoad);
   if (aFact.load && !IsNewerSample(sample.asOf, aFact.load->asOf)) {
     return;
   }
@@ -335,13 +339,13 @@
 }
 
 void
-LoadWatch::ApplyState(EndpointFact& aFact, const StateFact& aUpdate)
+EndpointMonitor::ApplyState(EndpointFact& aFact, const EndpointStateUpdate& aUpdate)
 {
   aFact.state = aUpdate.state;
   aFact.stateVersion = aUpdate.version;
-  aFact.goneAfter.reset();
+  aFact.availableUntil.reset();
   if (aUpdate.state == EndpointState::Leaving && aUpdate.graceLeft > 0) {
-    aFact.goneAfter = this->clock.Now() + Milliseconds(aUpdate.graceLeft);
+    aFact.availableUntil = this->clock.Now() + Milliseconds(aUpdate.graceLeft);
   }
   if (!aFact.stateQueued) {
     aFact.stateQueued = true;
@@ -350,7 +354,8 @@
 }
 
 void
-LoadWatch::QueueLoad(EndpointFact& aFact, const LoadFact& aSample, TimePoint aObservedAt)
+EndpointMonitor::QueueLoad(EndpointFact& aFact, const EndpointLoadUpdate& aSample,
+                           TimePoint aObservedAt)
 {
   aFact.published = aSample;
   aFact.publishedObservedAt = aObservedAt;
@@ -362,7 +367,7 @@
 }
 
 void
-LoadWatch::RefillBudget()
+EndpointMonitor::RefillBudget()
 {
   const TimePoint now = this->clock.Now();
   const double rate = static_cast<double>(this->settings.loadBytesPerSecond);
@@ -372,18 +377,18 @@
 }
 
 void
-LoadWatch::ExpireTombstones()
+EndpointMonitor::ExpireTombstones()
 {
   const TimePoint now = this->clock.Now();
   std::erase_if(this->tombstones, [&](const auto& aItem) {
     return now - aItem.second > this->settings.tombstoneRetention;
   });
   std::erase_if(this->pendingUpdates,
-                [&](const auto& aItem) { return aItem.second.goneAfter < now; });
+                [&](const auto& aItem) { return aItem.second.availableUntil < now; });
 }
 
 bool
-LoadWatch::ShouldPublish(const EndpointFact& aFact, const LoadFact& aSample) const
+EndpointMonitor::ShouldPublish(const EndpointFact& aFact, const EndpointLoadUpdate& aSample) const
 {
   if (!aFact.published) {
     return true;
@@ -395,38 +400,38 @@
          (isSignificant && elapsed >= this->settings.minimumPublishInterval);
 }
 
-LoadFact
-LoadWatch::ToFact(EndpointKey aKey, const EndpointLoad& aLoad)
+EndpointLoadUpdate
+EndpointMonitor::ToFact(EndpointKey aKey, const EndpointLoad& aLoad)
 {
   EndpointProfile profile{ aLoad.role, aLoad.kvBlocksTotal, aLoad.models };
   const std::uint32_t hash = profile.Hash();
   if (this->FindProfile(hash) == nullptr) {
     this->AddProfile(std::move(profile));
   }
-  return ToLoadFact(aKey, aLoad, this->clock.WallNow() - aLoad.asOf, hash);
+  return ToEndpointLoadUpdate(aKey, aLoad, this->clock.WallNow() - aLoad.asOf, hash);
 }
 
-LoadFact
-LoadWatch::WithAge(LoadFact aSample, TimePoint aObservedAt) const
+EndpointLoadUpdate
+EndpointMonitor::WithAge(EndpointLoadUpdate aSample, TimePoint aObservedAt) const
 {
   aSample.age = ToAgeUnits(this->clock.Now() - aObservedAt);
   return aSample;
 }
 
-StateFact
-LoadWatch::WithGrace(const EndpointFact& aFact) const
+EndpointStateUpdate
+EndpointMonitor::WithGrace(const EndpointFact& aFact) const
 {
-  StateFact fact{ aFact.key, aFact.state, aFact.stateVersion, 0 };
-  if (aFact.goneAfter) {
+  EndpointStateUpdate fact{ aFact.key, aFact.state, aFact.stateVersion, 0 };
+  if (aFact.availableUntil) {
     const auto left =
-      std::chrono::duration_cast<Milliseconds>(*aFact.goneAfter - this->clock.Now());
+      std::chrono::duration_cast<Milliseconds>(*aFact.availableUntil - this->clock.Now());
     fact.graceLeft = static_cast<std::uint32_t>(std::max<std::int64_t>(0, left.count()));
   }
   return fact;
 }
 
 bool
-LoadWatch::IsFresh(const EndpointFact& aFact) const
+EndpointMonitor::IsFresh(const EndpointFact& aFact) const
 {
   return aFact.load && this->clock.Now() - aFact.observedAt <= this->settings.staleAfter;
 }
--- a/Lagoonward/Membership/LoadWatch.h
+++ b/Lagoonward/Membership/EndpointMonitor.h
@@ -21,10 +21,10 @@
 /// order replaces it. Until then samples arrive less often, which is visible in their age.
 ///
 /// Performs no I/O; the clock is passed in. Not thread-safe.
-class LoadWatch
+class EndpointMonitor
 {
 public:
-  LoadWatch(const Clock& aClock, PeerKey aSelf, LoadWatchSettings aSettings);
+  EndpointMonitor(const Clock& aClock, PeerKey aSelf, EndpointMonitorSettings aSettings);
 
   /// Replaces the endpoints of the region. Facts of endpoints that are still listed are kept. A `Leaving` update that
   /// arrived before the host list named its endpoint is applied now, or kept until its grace period has ended.
@@ -43,22 +43,23 @@
   bool Report(const std::string& aEndpointId, EndpointState aState, Milliseconds aGrace);
 
   /// Merges a fact received from a peer. @return whether it was new; new facts are queued for dissemination
-  bool Merge(const LoadFact& aFact);
-  bool Merge(const StateFact& aFact);
+  bool Merge(const EndpointLoadUpdate& aFact);
+  bool Merge(const EndpointStateUpdate& aFact);
 
   /// Takes queued load facts for one datagram, limited by aBytes and by the byte budget. The remaining ones stay queued
   /// for the next round and may be replaced by newer samples until then.
   /// @param aReceivers  number of peers that get each fact; the budget counts every copy
-  [[nodiscard]] std::vector<LoadFact> TakeLoads(std::size_t aBytes, std::size_t aReceivers);
+  [[nodiscard]] std::vector<EndpointLoadUpdate> TakeLoads(std::size_t aBytes,
+                                                          std::size_t aReceivers);
 
   /// Takes queued state facts, at most aLimit.
-  [[nodiscard]] std::vector<StateFact> TakeStates(std::size_t aLimit);
+  [[nodiscard]] std::vector<EndpointStateUpdate> TakeStates(std::size_t aLimit);
 
   /// All state facts that differ from the initial state.
-  [[nodiscard]] std::vector<StateFact> AllStates() const;
+  [[nodiscard]] std::vector<EndpointStateUpdate> AllStates() const;
 
   /// All load facts that are not stale.
-  [[nodiscard]] std::vector<LoadFact> AllLoads() const;
+  [[nodiscard]] std::vector<EndpointLoadUpdate> AllLoads() const;
 
   /// Stores a profile received from a peer.
   void AddProfile(EndpointProfile aProfile);
@@ -73,7 +74,7 @@
   [[nodiscard]] std::optional<EndpointLoad> LoadOf(const EndpointFact& aFact) const;
 
   /// Number of endpoints that this daemon polls.
-  [[nodiscard]] std::size_t WatchedCount() const;
+  [[nodiscard]] std::size_t PolledCount() const;
 
   /// Digest of all states. Equal on daemons that have the same states.
   [[nodiscard]] std::uint64_t StateDigest() const;
@@ -91,26 +92,27 @@
   /// A `Leaving` update of an endpoint that the host list does not name yet.
   struct PendingUpdate
   {
-    StateFact fact;
-    TimePoint goneAfter;
+    EndpointStateUpdate fact;
+    TimePoint availableUntil;
   };
 
   void UpdatePolledEndpoints();
   void OnPollFailed(EndpointFact& aFact, PollState& aPollState);
   void OnPollSucceeded(EndpointFact& aFact, PollState& aPollState, const EndpointLoad& aLoad);
-  void ApplyState(EndpointFact& aFact, const StateFact& aUpdate);
-  void QueueLoad(EndpointFact& aFact, const LoadFact& aSample, TimePoint aObservedAt);
+  void ApplyState(EndpointFact& aFact, const EndpointStateUpdate& aUpdate);
+  void QueueLoad(EndpointFact& aFact, const EndpointLoadUpdate& aSample, TimePoint aObservedAt);
   void RefillBudget();
   void ExpireTombstones();
-  [[nodiscard]] bool ShouldPublish(const EndpointFact& aFact, const LoadFact& aSample) const;
-  [[nodiscard]] LoadFact ToFact(EndpointKey aKey, const EndpointLoad& aLoad);
-  [[nodiscard]] LoadFact WithAge(LoadFact aSample, TimePoint aObservedAt) const;
-  [[nodiscard]] StateFact WithGrace(const EndpointFact& aFact) const;
+  [[nodiscard]] bool ShouldPublish(const EndpointFact& aFact,
+                                   const EndpointLoadUpdate& aSample) const;
+  [[nodiscard]] EndpointLoadUpdate ToFact(EndpointKey aKey, const EndpointLoad& aLoad);
+  [[nodiscard]] EndpointLoadUpdate WithAge(EndpointLoadUpdate aSample, TimePoint aObservedAt) const;
+  [[nodiscard]] EndpointStateUpdate WithGrace(const EndpointFact& aFact) const;
   [[nodiscard]] bool IsFresh(const EndpointFact& aFact) const;
 
   const Clock& clock;
   PeerKey self;
-  LoadWatchSettings settings;
+  EndpointMonitorSettings settings;
   std::vector<PeerKey> daemons;
   std::unordered_map<EndpointKey, EndpointFact> facts;
   std::unordered_map<EndpointKey, PollState> pollStates;
--- a/Lagoonward/Membership/HostListShare.cpp
+++ b/Lagoonward/Membership/HostListDistribution.cpp
@@ -1,4 +1,4 @@
-#include "Lagoonward/Membership/HostListShare.h"
+#include "Lagoonward/Membership/HostListDistribution.h"
 
 #include <algorithm>
 
@@ -38,8 +38,8 @@
   aHost.kind = static_cast<HostEntry::Kind>(kind);
 }
 
-HostListShare::HostListShare(const Clock& aClock, std::string aRegion,
-                             const HostListSettings& aSettings)
+HostListDistribution::HostListDistribution(const Clock& aClock, std::string aRegion,
+                                           const HostListSettings& aSettings)
   : clock(aClock)
   , region(std::move(aRegion))
   , settings(aSettings)
@@ -47,7 +47,7 @@
 }
 
 std::optional<SharedState>
-HostListShare::OnRead(std::span<const HostEntry> aHosts)
+HostListDistribution::OnRead(std::span<const HostEntry> aHosts)
 {
   SharedHostList list;
   std::copy_if(aHosts.begin(), aHosts.end(), std::back_inserter(list.hosts),
@@ -84,7 +84,7 @@
 }
 
 Result<std::vector<HostEntry>>
-HostListShare::ApplyShared(const SharedState& aState)
+HostListDistribution::ApplyShared(const SharedState& aState)
 {
   auto list = DecodeMessage<SharedHostList>(aState.bytes);
   if (!list) {
--- a/Lagoonward/Membership/HostListShare.h
+++ b/Lagoonward/Membership/HostListDistribution.h
@@ -15,13 +15,13 @@
 /// Distributes the platform's host list within a region, so that only a few daemons (the readers) poll it: at 1,260
 /// hosts one response has 217 KB. A reader publishes the list as a shared state of the region, reduced to all daemons
 /// and the region's endpoints, and only when it has changed. Performs no I/O. Not thread-safe.
-class HostListShare
+class HostListDistribution
 {
 public:
   /// Name of the shared state. It is not sent to other regions.
   static constexpr std::string_view kName = "region/hosts";
 
-  HostListShare(const Clock& aClock, std::string aRegion, const HostListSettings& aSettings);
+  HostListDistribution(const Clock& aClock, std::string aRegion, const HostListSettings& aSettings);
 
   /// Handles a list that this daemon has read from the platform. To be called in the order of the reads.
   /// @return the state to publish; nothing if the list equals the one read before or the shared one, or if the last
--- a/Lagoonward/Membership/HostListPace.cpp
+++ b/Lagoonward/Membership/HostListPollInterval.cpp
@@ -1,16 +1,16 @@
-#include "Lagoonward/Membership/HostListPace.h"
+#include "Lagoonward/Membership/HostListPollInterval.h"
 
 #include <algorithm>
 
 namespace lagoonward {
 
-HostListPace::HostListPace(HostListSettings aSettings)
+HostListPollInterval::HostListPollInterval(HostListSettings aSettings)
   : settings(aSettings)
 {
 }
 
 bool
-HostListPace::IsDue(TimePoint aNow, bool aIsReader) const
+HostListPollInterval::IsDue(TimePoint aNow, bool aIsReader) const
 {
   const Milliseconds intervalPerHost =
     aIsReader ? this->settings.readerIntervalPerHost : this->settings.followerIntervalPerHost;
@@ -20,7 +20,7 @@
 }
 
 void
-HostListPace::OnRead(TimePoint aNow, std::size_t aHostCount)
+HostListPollInterval::OnRead(TimePoint aNow, std::size_t aHostCount)
 {
   this->lastRead = aNow;
   this->hostCount = aHostCount;
--- a/Lagoonward/Membership/KeeperDirectory.cpp
+++ b/Lagoonward/Membership/KeyOwnerDirectory.cpp
@@ -1,8 +1,8 @@
-#include "Lagoonward/Membership/KeeperDirectory.h"
+#include "Lagoonward/Membership/KeyOwnerDirectory.h"
 
 namespace lagoonward {
 
-KeeperDirectory::KeeperDirectory(PeerInfo aSelf, const Clock& aClock)
+KeyOwnerDirectory::KeyOwnerDirectory(PeerInfo aSelf, const Clock& aClock)
   : self(std::move(aSelf))
   , clock(aClock)
   , plan(this->self, true, this->view)
@@ -11,11 +11,11 @@
 }
 
 void
-KeeperDirectory::OnPeers(const PeerView& aView)
+KeyOwnerDirectory::OnPeers(const PeerView& aView)
 {
   const std::lock_guard lock(this->mutex);
   this->view = aView;
-  KeeperPlan nextPlan(this->self, !this->draining, this->view);
+  KeyOwnerPlan nextPlan(this->self, !this->draining, this->view);
   if (!nextPlan.HasSameDaemons(this->plan)) {
     this->daemonsChangedAt = this->clock.Now();
   }
@@ -23,37 +23,37 @@
 }
 
 bool
-KeeperDirectory::IsSettled(Milliseconds aDuration)
+KeyOwnerDirectory::IsStableFor(Milliseconds aDuration)
 {
   const std::lock_guard lock(this->mutex);
   return this->clock.Now() - this->daemonsChangedAt >= aDuration;
 }
 
 void
-KeeperDirectory::Drain()
+KeyOwnerDirectory::Drain()
 {
   const std::lock_guard lock(this->mutex);
   this->draining = true;
-  this->plan = KeeperPlan(this->self, false, this->view);
+  this->plan = KeyOwnerPlan(this->self, false, this->view);
 }
 
-KeeperRole
-KeeperDirectory::RoleOf(std::uint64_t aKey)
+KeyOwnerRole
+KeyOwnerDirectory::RoleOf(std::uint64_t aKey)
 {
   const std::lock_guard lock(this->mutex);
-  const Keepers& owners = this->plan.KeepersOf(aKey);
+  const KeyOwners& owners = this->plan.OwnersOf(aKey);
   if (owners.primary && owners.primary->key == this->self.Key()) {
-    return KeeperRole::Primary;
+    return KeyOwnerRole::Primary;
   }
   const bool isBackup = owners.backup && owners.backup->key == this->self.Key();
-  return isBackup ? KeeperRole::Backup : KeeperRole::None;
+  return isBackup ? KeyOwnerRole::Backup : KeyOwnerRole::None;
 }
 
 std::vector<PeerAddress>
-KeeperDirectory::OthersFor(std::uint64_t aKey)
+KeyOwnerDirectory::OtherOwnersOf(std::uint64_t aKey)
 {
   const std::lock_guard lock(this->mutex);
-  const Keepers& owners = this->plan.KeepersOf(aKey);
+  const KeyOwners& owners = this->plan.OwnersOf(aKey);
   std::vector<PeerAddress> others;
   for (const auto& owner : { owners.primary, owners.backup }) {
     if (owner && owner->key != this->self.Key()) {
--- a/Lagoonward/Membership/KeeperDirectory.h
+++ b/Lagoonward/Membership/KeyOwnerDirectory.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "Lagoonward/Membership/KeeperPlan.h"
+#include "Lagoonward/Membership/KeyOwnerPlan.h"
 
 #include <mutex>
 #include <vector>
@@ -8,19 +8,19 @@
 namespace lagoonward {
 
 /// Role of this daemon for a key.
-enum class KeeperRole
+enum class KeyOwnerRole
 {
   None,
   Primary,
   Backup,
 };
 
-/// Holds the ownership plan (KeeperPlan) of the latest peer view, for all state that is partitioned by key.
+/// Holds the ownership plan (KeyOwnerPlan) of the latest peer view, for all state that is partitioned by key.
 /// Thread-safe.
-class KeeperDirectory
+class KeyOwnerDirectory
 {
 public:
-  KeeperDirectory(PeerInfo aSelf, const Clock& aClock);
+  KeyOwnerDirectory(PeerInfo aSelf, const Clock& aClock);
 
   /// Recomputes the plan for a new peer view.
   void OnPeers(const PeerView& aView);
@@ -29,14 +29,14 @@
   void Drain();
 
   /// Role of this daemon for a key, by the latest plan.
-  [[nodiscard]] KeeperRole RoleOf(std::uint64_t aKey);
+  [[nodiscard]] KeyOwnerRole RoleOf(std::uint64_t aKey);
 
   /// Whether the set of daemons has not changed for the given time, so that the current owners owned their keys
   /// throughout.
-  [[nodiscard]] bool IsSettled(Milliseconds aDuration);
+  [[nodiscard]] bool IsStableFor(Milliseconds aDuration);
 
   /// The owners of a key except this daemon, the primary first.
-  [[nodiscard]] std::vector<PeerAddress> OthersFor(std::uint64_t aKey);
+  [[nodiscard]] std::vector<PeerAddress> OtherOwnersOf(std::uint64_t aKey);
 
 private:
   const PeerInfo self;
@@ -44,7 +44,7 @@
   std::mutex mutex; ///< Guards the members below.
   bool draining = false;
   PeerView view;
-  KeeperPlan plan;
+  KeyOwnerPlan plan;
   TimePoint daemonsChangedAt; ///< When the set of daemons in the plan last changed.
 };
 
--- a/Lagoonward/Membership/KeeperPlan.cpp
+++ b/Lagoonward/Membership/KeyOwnerPlan.cpp
@@ -1,4 +1,4 @@
-#include "Lagoonward/Membership/KeeperPlan.h"
+#include "Lagoonward/Membership/KeyOwnerPlan.h"
 
 #include <algorithm>
 
@@ -11,7 +11,7 @@
 
 } // namespace
 
-KeeperPlan::KeeperPlan(const PeerInfo& aSelf, bool aEligible, const PeerView& aView)
+KeyOwnerPlan::KeyOwnerPlan(const PeerInfo& aSelf, bool aEligible, const PeerView& aView)
 {
   const auto add = [this](const PeerInfo& aInfo, PeerKey aKey) {
     this->daemons.push_back(
@@ -30,7 +30,7 @@
 }
 
 bool
-KeeperPlan::HasSameDaemons(const KeeperPlan& aOther) const
+KeyOwnerPlan::HasSameDaemons(const KeyOwnerPlan& aOther) const
 {
   // Views are ordered by key, and this daemon is the first entry
   return std::equal(this->daemons.begin(), this->daemons.end(), aOther.daemons.begin(),
@@ -39,8 +39,8 @@
                     });
 }
 
-const Keepers&
-KeeperPlan::KeepersOf(std::uint64_t aKey)
+const KeyOwners&
+KeyOwnerPlan::OwnersOf(std::uint64_t aKey)
 {
   const auto found = this->cache.find(aKey);
   if (found != this->cache.end()) {
@@ -66,7 +66,7 @@
     }
     return best;
   };
-  Keepers owners;
+  KeyOwners owners;
   if (const Candidate* primary = findHeaviest(nullptr)) {
     owners.primary = primary->address;
     if (const Candidate* backup = findHeaviest(primary)) {
--- a/Lagoonward/Membership/KeeperPlan.h
+++ b/Lagoonward/Membership/KeyOwnerPlan.h
@@ -9,7 +9,7 @@
 namespace lagoonward {
 
 /// Owners of the shared state of one key. A key stands for a client's limit, an endpoint or a request.
-struct Keepers
+struct KeyOwners
 {
   std::optional<PeerAddress> primary; ///< Empty only if no daemon is eligible.
   std::optional<PeerAddress> backup;  ///< In another failure domain if there is one.
@@ -18,18 +18,18 @@
 /// Assigns keys to owner daemons by rendezvous hashing. Keys are distributed over all daemons, and a daemon that joins
 /// or leaves does not move the keys of others. Every daemon computes the plan from its own peer view, so plans differ
 /// while views differ. Not thread-safe.
-class KeeperPlan
+class KeyOwnerPlan
 {
 public:
   /// @param aEligible  whether this daemon may own keys; false while it is leaving
-  KeeperPlan(const PeerInfo& aSelf, bool aEligible, const PeerView& aView);
+  KeyOwnerPlan(const PeerInfo& aSelf, bool aEligible, const PeerView& aView);
 
   /// Owners of a key. The first call for a key takes time linear in the number of daemons; later ones are cached. The
   /// reference is valid until the next call.
-  [[nodiscard]] const Keepers& KeepersOf(std::uint64_t aKey);
+  [[nodiscard]] const KeyOwners& OwnersOf(std::uint64_t aKey);
 
   /// Whether both plans have the same eligible daemons.
-  [[nodiscard]] bool HasSameDaemons(const KeeperPlan& aOther) const;
+  [[nodiscard]] bool HasSameDaemons(const KeyOwnerPlan& aOther) const;
 
 private:
   struct Candidate
@@ -39,7 +39,7 @@
   };
 
   std::vector<Candidate> daemons;
-  std::unordered_map<std::uint64_t, Keepers> cache;
+  std::unordered_map<std::uint64_t, KeyOwners> cache;
 };
 
 } // namespace lagoonward
--- a/Lagoonward/Membership/MembershipService.cpp
+++ b/Lagoonward/Membership/MembershipService.cpp
@@ -129,7 +129,7 @@
 }
 
 bool
-MembershipService::ReadsHostList() const
+MembershipService::IsHostListReader() const
 {
   return this->readsHostList;
 }
@@ -183,7 +183,7 @@
   this->peersHandlers.push_back(std::move(aHandler));
 }
 
-const LoadWatch&
+const EndpointMonitor&
 MembershipService::Loads() const
 {
   return this->loads;
@@ -208,7 +208,7 @@
 }
 
 void
-MembershipService::FindRecord(std::uint64_t aKeyHash, PeerExchange::Found aHandler)
+MembershipService::FindRecord(std::uint64_t aKeyHash, PeerExchange::RecordHandler aHandler)
 {
   this->loop.Post([this, aKeyHash, handler = std::move(aHandler)] {
     const auto holders =
@@ -244,7 +244,7 @@
 void
 MembershipService::SendProbes()
 {
-  for (const ProbeOrder& order : this->peers.Tick()) {
+  for (const ScheduledProbe& order : this->peers.Tick()) {
     Datagram datagram;
     datagram.kind = order.kind;
     datagram.nonce = order.nonce;
@@ -317,7 +317,7 @@
 MembershipService::UpdateHostListReaderRole(const PeerView& aView)
 {
   // The readers are the highest-ranked alive daemons of the region by rendezvous weight
-  const std::uint64_t topic = HashBytes(HostListShare::kName);
+  const std::uint64_t topic = HashBytes(HostListDistribution::kName);
   const auto ownWeight = RendezvousWeight(topic, this->identity.self.Key());
   const auto higherRanked =
     std::count_if(aView.peers.begin(), aView.peers.end(), [&](const Peer& aPeer) {
@@ -345,7 +345,7 @@
 bool
 MembershipService::ApplySharedState(const SharedState& aState)
 {
-  if (aState.name != HostListShare::kName) {
+  if (aState.name != HostListDistribution::kName) {
     return !this->stateHandler || this->stateHandler(aState);
   }
   const auto hosts = this->hostList.ApplyShared(aState);
@@ -358,7 +358,7 @@
 void
 MembershipService::Announce(const SharedState& aState)
 {
-  this->exchange.QueueNote(aState);
+  this->exchange.QueueAnnouncement(aState);
   this->ScheduleUpdates();
 }
 
@@ -366,11 +366,11 @@
 MembershipService::HandleDatagram(PeerKey aSender, const Datagram& aDatagram)
 {
   this->ApplyUpdates(aSender, aDatagram);
-  if (aDatagram.kind == DatagramKind::Spread) {
-    this->peers.OnHeard(aSender);
+  if (aDatagram.kind == DatagramKind::Gossip) {
+    this->peers.OnContact(aSender);
     return;
   }
-  this->peers.OnHeard(aSender, aDatagram.incarnation, aDatagram.state);
+  this->peers.OnContact(aSender, aDatagram.incarnation, aDatagram.state);
   this->exchange.CompareDigest(aSender, aDatagram.digest);
   switch (aDatagram.kind) {
     case DatagramKind::Ping:
@@ -383,7 +383,7 @@
     case DatagramKind::IndirectAck:
       this->peers.OnIndirectAck(aDatagram.subject);
       break;
-    case DatagramKind::Spread:
+    case DatagramKind::Gossip:
       break;
   }
 }
@@ -394,15 +394,15 @@
   for (const PeerChange& change : aDatagram.peers) {
     this->peers.Apply(change);
   }
-  for (const StateFact& fact : aDatagram.states) {
+  for (const EndpointStateUpdate& fact : aDatagram.states) {
     this->loads.Merge(fact);
   }
-  for (const LoadFact& fact : aDatagram.loads) {
+  for (const EndpointLoadUpdate& fact : aDatagram.loads) {
     this->endpointsChanged |= this->loads.Merge(fact);
     this->exchange.FetchProfile(aSender, fact.profile);
   }
-  for (const VersionNote& note : aDatagram.versions) {
-    this->exchange.TakeNote(aSender, note);
+  for (const VersionAnnouncement& announcement : aDatagram.versions) {
+    this->exchange.HandleAnnouncement(aSender, announcement);
   }
   if (!aDatagram.states.empty()) {
     this->ScheduleUpdates();
--- a/Lagoonward/Membership/MembershipService.h
+++ b/Lagoonward/Membership/MembershipService.h
@@ -3,15 +3,15 @@
 #include "Lagoonward/Core/Service.h"
 #include "Lagoonward/Fleet/Endpoint.h"
 #include "Lagoonward/Membership/ControlLoop.h"
-#include "Lagoonward/Membership/HostListShare.h"
-#include "Lagoonward/Membership/LoadWatch.h"
+#include "Lagoonward/Membership/EndpointMonitor.h"
+#include "Lagoonward/Membership/HostListDistribution.h"
 #include "Lagoonward/Membership/MembershipSettings.h"
-#include "Lagoonward/Membership/NewsSpreader.h"
 #include "Lagoonward/Membership/PeerExchange.h"
 #include "Lagoonward/Membership/PeerTable.h"
 #include "Lagoonward/Membership/PeerTransport.h"
 #include "Lagoonward/Membership/SharedStates.h"
 #include "Lagoonward/Membership/SoftRecords.h"
+#include "Lagoonward/Membership/UpdateDisseminator.h"
 #include "Lagoonward/Providers/PlatformInterfaces.h"
 
 #include <atomic>
@@ -70,7 +70,7 @@
 
   /// Whether this daemon reads the host list for its region. Other daemons receive it from their peers and poll it at a
   /// long interval. True until peers are known. Any thread.
-  [[nodiscard]] bool ReadsHostList() const;
+  [[nodiscard]] bool IsHostListReader() const;
 
   /// Reports to every daemon of the region that an endpoint is leaving, was ejected, or is live again. Sent
   /// immediately. Any thread.
@@ -96,7 +96,7 @@
   void OnPeers(std::function<void(const PeerViewPtr&)> aHandler);
 
   /// Loads and states of the region's endpoints.
-  [[nodiscard]] const LoadWatch& Loads() const;
+  [[nodiscard]] const EndpointMonitor& Loads() const;
 
   /// Soft records that this daemon stores for its peers.
   [[nodiscard]] SoftRecords& StoredRecords();
@@ -107,7 +107,7 @@
 
   /// Asks the peers that may hold a key's record, one after the other. The handler gets nothing if none has it. Any
   /// thread; the handler runs on the control thread.
-  void FindRecord(std::uint64_t aKeyHash, PeerExchange::Found aHandler);
+  void FindRecord(std::uint64_t aKeyHash, PeerExchange::RecordHandler aHandler);
 
   /// Bytes and messages since the start.
   [[nodiscard]] const TransportCounters& Counters() const;
@@ -144,12 +144,12 @@
   ControlLoop loop;
   PeerTransport transport;
   PeerTable peers;
-  LoadWatch loads;
+  EndpointMonitor loads;
   SharedStates states;
   SoftRecords records;
   PeerExchange exchange;
-  NewsSpreader disseminator;
-  HostListShare hostList;
+  UpdateDisseminator disseminator;
+  HostListDistribution hostList;
   std::atomic<bool> readsHostList{ true };
   SharedStates::Validator stateHandler;
   std::function<void()> endpointsHandler;
--- a/Lagoonward/Membership/MembershipSettings.h
+++ b/Lagoonward/Membership/MembershipSettings.h
@@ -15,19 +15,21 @@
   std::size_t remotePeersPerRegion = 1; ///< Daemons of each other region that this daemon probes.
   Milliseconds probeInterval{ 1000 };   ///< Between two probes of one peer.
   Milliseconds remoteProbeInterval{ 2000 }; ///< The same, for a peer of another region.
-  Milliseconds ackTimeout{ 400 }; ///< Time without a response before peers are asked to probe.
-  Milliseconds silenceToSuspect{ 2500 }; ///< Time without a message before a peer is suspected.
-  Milliseconds suspicionToDead{ 4000 };  ///< Time for a suspected peer to refute the suspicion.
-  Milliseconds selfIsolation{ 3000 }; ///< Without any message for this long, no peer is suspected.
-  Milliseconds regionSilence{ 8000 }; ///< Without messages this long, a region is unreachable.
-  Milliseconds ownPause{ 1000 };      ///< Gap between two ticks that counts as a local pause.
-  Milliseconds deadProbeInterval{ 5000 }; ///< Between probes of daemons that are dead but listed.
-  Milliseconds deadRetention{ 60000 };    ///< Retention of a dead or unlisted peer.
-  std::size_t retransmitFactor = 1;       ///< A change is sent this times log2(peers) times.
+  Milliseconds ackTimeout{ 400 };      ///< Time without a response before peers are asked to probe.
+  Milliseconds suspectTimeout{ 2500 }; ///< Time without a message before a peer is suspected.
+  Milliseconds deadTimeout{ 4000 };    ///< Time for a suspected peer to refute the suspicion.
+  Milliseconds isolationTimeout{
+    3000
+  };                                  ///< Without any message for this long, no peer is suspected.
+  Milliseconds regionTimeout{ 8000 }; ///< Without messages this long, a region is unreachable.
+  Milliseconds localPauseThreshold{ 1000 }; ///< Gap between two ticks that counts as a local pause.
+  Milliseconds deadProbeInterval{ 5000 };   ///< Between probes of daemons that are dead but listed.
+  Milliseconds deadRetention{ 60000 };      ///< Retention of a dead or unlisted peer.
+  std::size_t retransmitFactor = 1;         ///< A change is sent this times log2(peers) times.
 };
 
 /// Tunables of the polling of endpoints and of the dissemination of endpoint facts.
-struct LoadWatchSettings
+struct EndpointMonitorSettings
 {
   std::size_t pollersPerEndpoint = 2; ///< Daemons of its region that poll an endpoint.
   std::size_t loadFanout = 2;         ///< Peers to which a daemon sends each load fact.
@@ -52,12 +54,13 @@
   std::size_t maximumFrame = 1U << 20U;      ///< Bytes of one TCP frame.
   std::size_t maximumFirstFrame = 1U << 16U; ///< Bytes of a frame of an unauthenticated peer.
   std::size_t maximumConnections = 256;      ///< Accepted TCP connections at once.
-  std::size_t maximumQueued = 4U << 20U; ///< Unsent bytes of one connection before it is closed.
+  std::size_t maximumQueuedBytes = 4U
+                                   << 20U; ///< Unsent bytes of one connection before it is closed.
   Milliseconds frameTimeout{ 5000 }; ///< For the rest of a frame to arrive after its first byte.
   Milliseconds acceptPause{ 500 };   ///< Pause of accepting after running out of file descriptors.
   Milliseconds idleTimeout{ 30000 }; ///< Unused connections are closed after this.
-  std::size_t datagramsPerWake = 64; ///< Datagrams read before other work of the loop runs.
-  Seconds clockTolerance{ 30 };      ///< Largest difference between two daemons' clocks.
+  std::size_t datagramsPerWakeup = 64; ///< Datagrams read before other work of the loop runs.
+  Seconds clockTolerance{ 30 };        ///< Largest difference between two daemons' clocks.
 };
 
 /// Tunables of the soft records of running requests.
@@ -82,7 +85,7 @@
 struct MembershipSettings
 {
   PeerTableSettings peers;
-  LoadWatchSettings loads;
+  EndpointMonitorSettings loads;
   PeerTransportSettings transport;
   SoftRecordSettings softRecords;
   HostListSettings hostList;
@@ -91,7 +94,7 @@
 
   /// A digest mismatch is repaired only after the local digest was unchanged this long, because updates in flight
   /// resolve most differences.
-  Milliseconds repairPatience{ 500 };
+  Milliseconds repairDelay{ 500 };
 
   Milliseconds repairInterval{ 2000 }; ///< Shortest time between two repairs by full exchange.
 };
--- a/Lagoonward/Membership/Messages.h
+++ b/Lagoonward/Membership/Messages.h
@@ -55,7 +55,7 @@
 /// One load sample of an endpoint. Samples of one endpoint are ordered by the endpoint's own clock, so
 /// that two daemons that poll it always agree on which sample is newer. The age is sent as a separate
 /// field: the endpoint's clock is compared with another clock only once, by the daemon that polled it.
-struct LoadFact
+struct EndpointLoadUpdate
 {
   EndpointKey key = 0;
   std::uint32_t asOf = 0; ///< Low bits of the endpoint's `as_of_ms`; compared modulo 2^32.
@@ -73,12 +73,12 @@
   }
 };
 
-/// Encoded size of one LoadFact, in bytes.
-inline constexpr std::size_t kLoadFactBytes = 19;
+/// Encoded size of one EndpointLoadUpdate, in bytes.
+inline constexpr std::size_t kEndpointLoadUpdateBytes = 19;
 
 /// Whether an endpoint accepts requests. `Leaving` is final; among the other states the higher version
 /// wins.
-struct StateFact
+struct EndpointStateUpdate
 {
   EndpointKey key = 0;
   EndpointState state = EndpointState::Live;
@@ -97,12 +97,12 @@
   }
 };
 
-/// Encoded size of one StateFact, in bytes.
-inline constexpr std::size_t kStateFactBytes = 13;
+/// Encoded size of one EndpointStateUpdate, in bytes.
+inline constexpr std::size_t kEndpointStateUpdateBytes = 13;
 
 /// Announces the newest version of a shared state that the sender has, for example of a market's
 /// configuration.
-struct VersionNote
+struct VersionAnnouncement
 {
   std::uint64_t topic = 0; ///< Hash of the state's name.
   std::int64_t version = 0;
@@ -114,8 +114,8 @@
   }
 };
 
-/// Encoded size of one VersionNote, in bytes.
-inline constexpr std::size_t kVersionNoteBytes = 16;
+/// Encoded size of one VersionAnnouncement, in bytes.
+inline constexpr std::size_t kVersionAnnouncementBytes = 16;
 
 /// Purpose of a datagram.
 enum class DatagramKind : std::uint8_t
@@ -124,22 +124,22 @@
   Ack,          ///< Response to the Ping with the same nonce.
   IndirectPing, ///< Requests a Ping of the subject on the sender's behalf.
   IndirectAck,  ///< Reports that the subject responded.
-  Spread,       ///< Only disseminates updates.
+  Gossip,       ///< Only disseminates updates.
 };
 
 /// The datagram format between daemons. Every kind also carries piggybacked updates.
 struct Datagram
 {
-  DatagramKind kind = DatagramKind::Spread;
+  DatagramKind kind = DatagramKind::Gossip;
   std::uint32_t nonce = 0;            ///< Echoed in the response. Not in Spread.
   PeerKey subject = 0;                ///< Only in indirect kinds.
   std::uint64_t incarnation = 0;      ///< Of the sender. Not in Spread.
   PeerState state = PeerState::Alive; ///< Of the sender: Alive or Leaving. Not in Spread.
   std::uint64_t digest = 0; ///< Of all states and versions that the sender knows. Not in Spread.
   std::vector<PeerChange> peers;
-  std::vector<StateFact> states;
-  std::vector<LoadFact> loads;
-  std::vector<VersionNote> versions;
+  std::vector<EndpointStateUpdate> states;
+  std::vector<EndpointLoadUpdate> loads;
+  std::vector<VersionAnnouncement> versions;
 
   [[nodiscard]] bool IsIndirect() const
   {
@@ -150,10 +150,10 @@
   void serialize(Archive& aArchive)
   {
     aArchive(this->kind);
-    if (this->kind > DatagramKind::Spread) {
+    if (this->kind > DatagramKind::Gossip) {
       throw cereal::Exception("invalid datagram: kind out of range");
     }
-    if (this->kind != DatagramKind::Spread) {
+    if (this->kind != DatagramKind::Gossip) {
       aArchive(this->nonce, this->incarnation, this->state, this->digest);
     }
     if (this->state > PeerState::Leaving) {
@@ -238,9 +238,10 @@
 struct StateExchange
 {
   std::vector<PeerChange> peers; ///< With their info; only in the response to Join.
-  std::vector<StateFact> states; ///< Endpoints whose state differs from the initial live state.
-  std::vector<LoadFact> loads;   ///< Only in the response to Join.
-  std::vector<VersionNote> versions;
+  std::vector<EndpointStateUpdate>
+    states; ///< Endpoints whose state differs from the initial live state.
+  std::vector<EndpointLoadUpdate> loads; ///< Only in the response to Join.
+  std::vector<VersionAnnouncement> versions;
 
   template<class Archive>
   void serialize(Archive& aArchive)
--- a/Lagoonward/Membership/PeerConnection.cpp
+++ b/Lagoonward/Membership/PeerConnection.cpp
@@ -42,7 +42,7 @@
 bool
 PeerConnection::Queue(const Frame& aFrame, TimePoint aNow)
 {
-  if (this->outgoing.size() - this->written > this->settings.maximumQueued) {
+  if (this->outgoing.size() - this->written > this->settings.maximumQueuedBytes) {
     return false;
   }
   this->lastActive = aNow;
--- a/Lagoonward/Membership/PeerConnection.h
+++ b/Lagoonward/Membership/PeerConnection.h
@@ -29,7 +29,7 @@
   PeerConnection(UniqueFd aSocket, Side aSide, const KeyRing& aKeys,
                  const PeerTransportSettings& aSettings, TimePoint aNow, std::string aNonce);
 
-  /// Queues a frame. @return false if over `maximumQueued` bytes are unsent: the peer reads too slowly
+  /// Queues a frame. @return false if over `maximumQueuedBytes` bytes are unsent: the peer reads too slowly
   [[nodiscard]] bool Queue(const Frame& aFrame, TimePoint aNow);
 
   /// Reads the available bytes and appends complete frames. @return false if the connection must be closed
--- a/Lagoonward/Membership/PeerExchange.cpp
+++ b/Lagoonward/Membership/PeerExchange.cpp
@@ -30,7 +30,7 @@
 void
 PeerExchange::Register()
 {
-  using Respond = PeerTransport::Respond;
+  using Respond = PeerTransport::Responder;
   PeerTransport& transport = this->components.transport;
   transport.OnRequest(RequestType::Join,
                       [this](PeerKey, std::string_view aBytes, const Respond& aRespond) {
@@ -100,18 +100,18 @@
     this->digestSince = now;
   }
   // Updates in flight resolve most differences without a repair
-  const bool isStable = now - this->digestSince >= this->settings.repairPatience;
+  const bool isStable = now - this->digestSince >= this->settings.repairDelay;
   if (aDigest != own && isStable && now - this->lastRepair >= this->settings.repairInterval) {
     this->Repair(aPeer);
   }
 }
 
 void
-PeerExchange::TakeNote(PeerKey aPeer, const VersionNote& aAnnouncement)
+PeerExchange::HandleAnnouncement(PeerKey aPeer, const VersionAnnouncement& aAnnouncement)
 {
   const std::uint64_t fetchKey =
     CombineHashes(aAnnouncement.topic, static_cast<std::uint64_t>(aAnnouncement.version));
-  if (!this->components.states.IsNews(aAnnouncement) || !this->BeginFetch(fetchKey)) {
+  if (!this->components.states.IsNewer(aAnnouncement) || !this->BeginFetch(fetchKey)) {
     return;
   }
   this->SendRequest(aPeer, RequestType::SharedState,
@@ -124,14 +124,14 @@
                     });
 }
 
-PeerExchange::Notes
-PeerExchange::TakeNotes()
+PeerExchange::Announcements
+PeerExchange::TakeAnnouncements()
 {
   return std::exchange(this->announcements, {});
 }
 
 void
-PeerExchange::QueueNote(const SharedState& aState)
+PeerExchange::QueueAnnouncement(const SharedState& aState)
 {
   auto& target = aState.IsRegional() ? this->announcements.regional : this->announcements.global;
   target.push_back({ aState.Topic(), aState.version });
@@ -165,7 +165,8 @@
 }
 
 void
-PeerExchange::FindRecord(std::uint64_t aKeyHash, std::vector<PeerKey> aHolders, Found aHandler)
+PeerExchange::FindRecord(std::uint64_t aKeyHash, std::vector<PeerKey> aHolders,
+                         RecordHandler aHandler)
 {
   if (auto own = this->components.records.Find(aKeyHash)) {
     aHandler(std::move(own));
@@ -203,7 +204,7 @@
 }
 
 void
-PeerExchange::HandleJoin(std::string_view aBytes, const PeerTransport::Respond& aRespond)
+PeerExchange::HandleJoin(std::string_view aBytes, const PeerTransport::Responder& aRespond)
 {
   const auto joiner = DecodeMessage<PeerChange>(aBytes);
   if (!joiner) {
@@ -222,7 +223,7 @@
 
 void
 PeerExchange::HandleStates(PeerKey aSender, std::string_view aBytes,
-                           const PeerTransport::Respond& aRespond)
+                           const PeerTransport::Responder& aRespond)
 {
   const auto exchange = DecodeMessage<StateExchange>(aBytes);
   if (!exchange) {
@@ -234,7 +235,7 @@
 }
 
 void
-PeerExchange::HandleSharedState(std::string_view aBytes, const PeerTransport::Respond& aRespond)
+PeerExchange::HandleSharedState(std::string_view aBytes, const PeerTransport::Responder& aRespond)
 {
   const auto lookup = DecodeMessage<LookupRequest>(aBytes);
   const SharedState* const state =
@@ -248,7 +249,7 @@
 }
 
 void
-PeerExchange::HandleProfile(std::string_view aBytes, const PeerTransport::Respond& aRespond)
+PeerExchange::HandleProfile(std::string_view aBytes, const PeerTransport::Responder& aRespond)
 {
   const auto lookup = DecodeMessage<LookupRequest>(aBytes);
   const EndpointProfile* const profile =
@@ -263,7 +264,7 @@
 }
 
 void
-PeerExchange::HandleRecord(std::string_view aBytes, const PeerTransport::Respond& aRespond)
+PeerExchange::HandleRecord(std::string_view aBytes, const PeerTransport::Responder& aRespond)
 {
   const auto request = DecodeMessage<RecordRequest>(aBytes);
   if (!request) {
@@ -306,15 +307,15 @@
   for (const PeerChange& change : aExchange.peers) {
     this->components.peers.Apply(change);
   }
-  for (const StateFact& update : aExchange.states) {
+  for (const EndpointStateUpdate& update : aExchange.states) {
     this->components.loads.Merge(update);
   }
-  for (const LoadFact& update : aExchange.loads) {
+  for (const EndpointLoadUpdate& update : aExchange.loads) {
     this->components.loads.Merge(update);
     this->FetchProfile(aPeer, update.profile);
   }
-  for (const VersionNote& announcement : aExchange.versions) {
-    this->TakeNote(aPeer, announcement);
+  for (const VersionAnnouncement& announcement : aExchange.versions) {
+    this->HandleAnnouncement(aPeer, announcement);
   }
   this->onUpdate();
 }
@@ -327,7 +328,7 @@
     return;
   }
   if (this->components.states.Adopt(state.value())) {
-    this->QueueNote(state.value());
+    this->QueueAnnouncement(state.value());
     this->onUpdate();
   }
 }
@@ -364,7 +365,7 @@
   if (aRegional) {
     exchange.states = this->components.loads.AllStates();
   }
-  exchange.versions = this->components.states.Notes(aRegional);
+  exchange.versions = this->components.states.VersionAnnouncements(aRegional);
   return exchange;
 }
 
--- a/Lagoonward/Membership/PeerExchange.h
+++ b/Lagoonward/Membership/PeerExchange.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "Lagoonward/Core/Log.h"
-#include "Lagoonward/Membership/LoadWatch.h"
+#include "Lagoonward/Membership/EndpointMonitor.h"
 #include "Lagoonward/Membership/MembershipSettings.h"
 #include "Lagoonward/Membership/PeerTable.h"
 #include "Lagoonward/Membership/PeerTransport.h"
@@ -26,12 +26,12 @@
   {
     PeerTransport& transport;
     PeerTable& peers;
-    LoadWatch& loads;
+    EndpointMonitor& loads;
     SharedStates& states;
     SoftRecords& records;
   };
 
-  using Found = std::function<void(std::optional<SoftRecord> aRecord)>;
+  using RecordHandler = std::function<void(std::optional<SoftRecord> aRecord)>;
 
   /// @param aOnUpdate  called after received state was applied, so that it is disseminated further
   PeerExchange(const Clock& aClock, Components aComponents, const MembershipSettings& aSettings,
@@ -49,18 +49,18 @@
   void CompareDigest(PeerKey aPeer, std::uint64_t aDigest);
 
   /// Handles the announcement of a version that a peer has; fetches the state if it is newer.
-  void TakeNote(PeerKey aPeer, const VersionNote& aAnnouncement);
+  void HandleAnnouncement(PeerKey aPeer, const VersionAnnouncement& aAnnouncement);
 
   /// Versions to announce with the next updates.
-  struct Notes
+  struct Announcements
   {
-    std::vector<VersionNote> regional; ///< For this region only.
-    std::vector<VersionNote> global;   ///< For all regions.
+    std::vector<VersionAnnouncement> regional; ///< For this region only.
+    std::vector<VersionAnnouncement> global;   ///< For all regions.
   };
-  [[nodiscard]] Notes TakeNotes();
+  [[nodiscard]] Announcements TakeAnnouncements();
 
   /// Queues the announcement of a state's version.
-  void QueueNote(const SharedState& aState);
+  void QueueAnnouncement(const SharedState& aState);
 
   /// Fetches a profile that a load sample refers to and that is not known here.
   void FetchProfile(PeerKey aPeer, std::uint32_t aProfile);
@@ -69,19 +69,19 @@
   void PlaceRecord(const SoftRecord& aRecord, PeerKey aHolder);
 
   /// Looks up a record locally, then on one daemon after the other until one has it.
-  void FindRecord(std::uint64_t aKeyHash, std::vector<PeerKey> aHolders, Found aHandler);
+  void FindRecord(std::uint64_t aKeyHash, std::vector<PeerKey> aHolders, RecordHandler aHandler);
 
   /// Digest of the state that a peer should share. Endpoint states and regional versions are included
   /// only for daemons of this region.
   [[nodiscard]] std::uint64_t DigestFor(PeerKey aPeer) const;
 
 private:
-  void HandleJoin(std::string_view aBytes, const PeerTransport::Respond& aRespond);
+  void HandleJoin(std::string_view aBytes, const PeerTransport::Responder& aRespond);
   void HandleStates(PeerKey aSender, std::string_view aBytes,
-                    const PeerTransport::Respond& aRespond);
-  void HandleSharedState(std::string_view aBytes, const PeerTransport::Respond& aRespond);
-  void HandleProfile(std::string_view aBytes, const PeerTransport::Respond& aRespond);
-  void HandleRecord(std::string_view aBytes, const PeerTransport::Respond& aRespond);
+                    const PeerTransport::Responder& aRespond);
+  void HandleSharedState(std::string_view aBytes, const PeerTransport::Responder& aRespond);
+  void HandleProfile(std::string_view aBytes, const PeerTransport::Responder& aRespond);
+  void HandleRecord(std::string_view aBytes, const PeerTransport::Responder& aRespond);
   void Repair(PeerKey aPeer);
   void ApplyExchange(PeerKey aPeer, const StateExchange& aExchange);
   void ApplySharedState(std::string_view aBytes);
@@ -95,7 +95,7 @@
   const MembershipSettings& settings;
   std::function<void()> onUpdate;
   Log log;
-  Notes announcements; ///< Announcements to disseminate.
+  Announcements announcements; ///< Announcements to disseminate.
   std::unordered_map<std::uint64_t, TimePoint>
     pendingFetches;             ///< States and profiles requested, by key.
   std::uint64_t lastDigest = 0; ///< Of all states and versions.
--- a/Lagoonward/Membership/PeerTable.cpp
+++ b/Lagoonward/Membership/PeerTable.cpp
@@ -96,7 +96,7 @@
   }
   // A daemon may restart with a different address
   if (isNewer && aChange.info && aChange.info->Key() == aChange.key &&
-      ChangeQueue::Fits(*aChange.info)) {
+      DisseminationQueue::FitsInDatagram(*aChange.info)) {
     entry.peer.info = *aChange.info;
   }
   this->SetState(entry, aChange.state, aChange.incarnation);
@@ -104,7 +104,7 @@
 }
 
 void
-PeerTable::OnHeard(PeerKey aPeer, std::uint64_t aIncarnation, PeerState aState)
+PeerTable::OnContact(PeerKey aPeer, std::uint64_t aIncarnation, PeerState aState)
 {
   const auto found = this->entries.find(aPeer);
   if (found == this->entries.end()) {
@@ -126,7 +126,7 @@
 }
 
 void
-PeerTable::OnHeard(PeerKey aPeer)
+PeerTable::OnContact(PeerKey aPeer)
 {
   const auto found = this->entries.find(aPeer);
   if (found != this->entries.end()) {
@@ -144,7 +144,7 @@
   }
 }
 
-std::vector<ProbeOrder>
+std::vector<ScheduledProbe>
 PeerTable::Tick()
 {
   this->DetectLocalPause();
@@ -182,7 +182,7 @@
   const auto receiver = this->entries.find(aTo);
   if (receiver != this->entries.end() && receiver->second.peer.state >= PeerState::Suspect) {
     taken.push_back(this->ToChange(receiver->second));
-    used = ChangeQueue::WireBytes(taken.front());
+    used = DisseminationQueue::WireBytes(taken.front());
   }
   const auto read = [this](PeerKey aKey) -> std::optional<PeerChange> {
     if (aKey == this->selfKey) {
@@ -193,7 +193,7 @@
                                         : std::optional(this->ToChange(entry->second));
   };
   if (used <= aBytes) {
-    this->changes.Take(aBytes - used, this->RetransmitLimit(), read, taken);
+    this->changes.SelectForDatagram(aBytes - used, this->RetransmitLimit(), read, taken);
   }
   return taken;
 }
@@ -277,7 +277,7 @@
 PeerEntry*
 PeerTable::Insert(const PeerInfo& aInfo, std::uint64_t aIncarnation, PeerState aState)
 {
-  if (!ChangeQueue::Fits(aInfo)) {
+  if (!DisseminationQueue::FitsInDatagram(aInfo)) {
     return nullptr;
   }
   PeerEntry& entry = this->entries[aInfo.Key()];
@@ -332,7 +332,7 @@
 PeerTable::DetectLocalPause()
 {
   const TimePoint now = this->clock.Now();
-  if (now - this->lastTick > this->settings.ownPause) {
+  if (now - this->lastTick > this->settings.localPauseThreshold) {
     this->ResetSilenceTimers(now);
     this->lastAnyContact = now;
   }
@@ -344,7 +344,7 @@
 {
   // This daemon was paused or isolated, so missing contact is no evidence against the peers: the
   // silence timeouts start again, and suspects get at least half of the time to refute
-  const TimePoint latest = aNow - this->settings.suspicionToDead / 2;
+  const TimePoint latest = aNow - this->settings.deadTimeout / 2;
   for (auto& [key, entry] : this->entries) {
     if (entry.peer.state == PeerState::Suspect) {
       entry.stateSince = std::max(entry.stateSince, latest);
@@ -363,12 +363,11 @@
   }
   const bool isUnsuspected =
     aEntry.peer.state == PeerState::Alive || aEntry.peer.state == PeerState::Leaving;
-  if (isUnsuspected && aEntry.probed &&
-      now - aEntry.lastContact > this->settings.silenceToSuspect) {
+  if (isUnsuspected && aEntry.probed && now - aEntry.lastContact > this->settings.suspectTimeout) {
     this->SetState(aEntry, PeerState::Suspect, aEntry.peer.incarnation);
     this->changes.Add(aEntry.peer.key);
   } else if (aEntry.peer.state == PeerState::Suspect &&
-             now - aEntry.stateSince > this->settings.suspicionToDead) {
+             now - aEntry.stateSince > this->settings.deadTimeout) {
     this->SetState(aEntry, PeerState::Dead, aEntry.peer.incarnation);
     this->changes.Add(aEntry.peer.key);
   }
@@ -402,7 +401,7 @@
   const TimePoint now = this->clock.Now();
   std::vector<std::string> withoutContact;
   for (const auto& [name, contact] : this->lastRegionContact) {
-    if (now - contact > this->settings.regionSilence) {
+    if (now - contact > this->settings.regionTimeout) {
       withoutContact.push_back(name);
     }
   }
@@ -415,7 +414,7 @@
 bool
 PeerTable::IsIsolated() const
 {
-  return this->clock.Now() - this->lastAnyContact > this->settings.selfIsolation;
+  return this->clock.Now() - this->lastAnyContact > this->settings.isolationTimeout;
 }
 
 PeerChange
--- a/Lagoonward/Membership/PeerTable.h
+++ b/Lagoonward/Membership/PeerTable.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "Lagoonward/Membership/ChangeQueue.h"
+#include "Lagoonward/Membership/DisseminationQueue.h"
 #include "Lagoonward/Membership/MembershipSettings.h"
 #include "Lagoonward/Membership/Messages.h"
 #include "Lagoonward/Membership/PeerEntry.h"
@@ -36,16 +36,16 @@
   void Apply(const PeerChange& aChange);
 
   /// Records an authentic datagram of a daemon, with the sender's incarnation and state.
-  void OnHeard(PeerKey aPeer, std::uint64_t aIncarnation, PeerState aState);
+  void OnContact(PeerKey aPeer, std::uint64_t aIncarnation, PeerState aState);
 
   /// Records an authentic datagram without incarnation, one that only disseminates updates.
-  void OnHeard(PeerKey aPeer);
+  void OnContact(PeerKey aPeer);
 
   /// Records that another daemon's probe of the subject was acknowledged.
   void OnIndirectAck(PeerKey aSubject);
 
   /// Advances suspicions and returns the probes to send now. Called every tick.
-  [[nodiscard]] std::vector<ProbeOrder> Tick();
+  [[nodiscard]] std::vector<ScheduledProbe> Tick();
 
   /// Sets this daemon's state to Leaving and disseminates it.
   void Leave();
@@ -101,7 +101,7 @@
   PeerEntries entries;
   RegionGraph region;
   ProbeScheduler scheduler;
-  ChangeQueue changes;
+  DisseminationQueue changes;
   std::map<std::string, TimePoint, std::less<>>
     lastRegionContact;                         ///< Last datagram from each other region.
   std::vector<std::string> unreachableRegions; ///< Unreachable regions, as in the last view.
--- a/Lagoonward/Membership/PeerTransport.cpp
+++ b/Lagoonward/Membership/PeerTransport.cpp
@@ -123,7 +123,7 @@
 PeerTransport::ReadDatagrams()
 {
   std::array<char, 2048> buffer;
-  for (std::size_t count = 0; count < this->settings.datagramsPerWake; ++count) {
+  for (std::size_t count = 0; count < this->settings.datagramsPerWakeup; ++count) {
     const auto size = ::recv(this->datagramSocket.Get(), buffer.data(), buffer.size(), 0);
     if (size < 0) {
       // The kernel reports an ICMP error of an earlier send once, on this call; it does not concern this read
@@ -330,7 +330,7 @@
 PeerTransport::HandleRequest(std::uint64_t aConnection, const Frame& aFrame)
 {
   const auto handler = this->requestHandlers.find(aFrame.type);
-  const Respond respond = this->MakeResponder(aConnection, aFrame.number);
+  const Responder respond = this->MakeResponder(aConnection, aFrame.number);
   if (handler == this->requestHandlers.end()) {
     respond(Error(ErrorKind::UnknownPath, "no handler is registered for this request type"));
     return;
@@ -338,7 +338,7 @@
   handler->second(aFrame.sender, aFrame.bytes, respond);
 }
 
-PeerTransport::Respond
+PeerTransport::Responder
 PeerTransport::MakeResponder(std::uint64_t aConnection, std::uint64_t aRequest)
 {
   return [this, handle = this->loop.Handle(), sender = this->self, aConnection,
--- a/Lagoonward/Membership/PeerTransport.h
+++ b/Lagoonward/Membership/PeerTransport.h
@@ -29,13 +29,13 @@
 /// Kinds of requests between daemons. Numbers are part of the protocol.
 enum class RequestType : std::uint16_t
 {
-  Join = 1,          ///< Initial state for a joining daemon.
-  States = 2,        ///< Endpoint states and versions of shared states.
-  SharedState = 3,   ///< One shared state, for example a market's configuration.
-  Models = 4,        ///< The endpoint profile with a given hash.
-  SoftRecord = 5,    ///< Stores or reads the soft record of a request.
-  Claim = 6,         ///< A claim forwarded to the daemon that batches for its key.
-  FirstForeign = 32, ///< First number for subsystems that are not listed here.
+  Join = 1,           ///< Initial state for a joining daemon.
+  States = 2,         ///< Endpoint states and versions of shared states.
+  SharedState = 3,    ///< One shared state, for example a market's configuration.
+  Models = 4,         ///< The endpoint profile with a given hash.
+  SoftRecord = 5,     ///< Stores or reads the soft record of a request.
+  Claim = 6,          ///< A claim forwarded to the daemon that batches for its key.
+  FirstExternal = 32, ///< First number for subsystems that are not listed here.
 };
 
 /// Traffic so far. Byte counts include an estimate for IP, UDP and TCP headers: 28 bytes per datagram,
@@ -62,9 +62,9 @@
 {
 public:
   /// Sends the response to a request. May be called from any thread, once.
-  using Respond = std::function<void(Result<std::string> aResponse)>;
+  using Responder = std::function<void(Result<std::string> aResponse)>;
   using RequestHandler =
-    std::function<void(PeerKey aSender, std::string_view aBytes, Respond aRespond)>;
+    std::function<void(PeerKey aSender, std::string_view aBytes, Responder aRespond)>;
   using DatagramHandler = std::function<void(PeerKey aSender, const Datagram& aDatagram)>;
   using ResponseHandler = std::function<void(Result<std::string> aResponse)>;
 
@@ -128,7 +128,7 @@
   void CompleteRequest(std::uint64_t aRequest, Result<std::string> aResponse);
   void OnRequestTimeout(std::uint64_t aRequest);
   void CloseExpiredConnections();
-  [[nodiscard]] Respond MakeResponder(std::uint64_t aConnection, std::uint64_t aRequest);
+  [[nodiscard]] Responder MakeResponder(std::uint64_t aConnection, std::uint64_t aRequest);
 
   ControlLoop& loop;
   const Clock& clock;
--- a/Lagoonward/Membership/ProbeScheduler.cpp
+++ b/Lagoonward/Membership/ProbeScheduler.cpp
@@ -49,10 +49,10 @@
   }
 }
 
-std::vector<ProbeOrder>
+std::vector<ScheduledProbe>
 ProbeScheduler::DueProbes(PeerEntries& aEntries, const RegionGraph& aRegion, bool aIsolated)
 {
-  std::vector<ProbeOrder> orders;
+  std::vector<ScheduledProbe> orders;
   for (auto& [key, entry] : aEntries) {
     if (entry.probed) {
       this->AddProbes(entry, aEntries, aRegion, orders);
@@ -91,7 +91,7 @@
 
 void
 ProbeScheduler::AddProbes(PeerEntry& aEntry, const PeerEntries& aEntries,
-                          const RegionGraph& aRegion, std::vector<ProbeOrder>& aOrders)
+                          const RegionGraph& aRegion, std::vector<ScheduledProbe>& aOrders)
 {
   const TimePoint now = this->clock.Now();
   const auto interval =
@@ -109,7 +109,7 @@
 
 void
 ProbeScheduler::AddIndirectProbes(PeerEntry& aEntry, const PeerEntries& aEntries,
-                                  const RegionGraph& aRegion, std::vector<ProbeOrder>& aOrders)
+                                  const RegionGraph& aRegion, std::vector<ScheduledProbe>& aOrders)
 {
   aEntry.indirectSent = true;
   const auto& keys = aRegion.Keys();
@@ -130,7 +130,7 @@
 
 void
 ProbeScheduler::AddDiscoveryProbes(const PeerEntries& aEntries, bool aIsolated,
-                                   std::vector<ProbeOrder>& aOrders)
+                                   std::vector<ScheduledProbe>& aOrders)
 {
   const TimePoint now = this->clock.Now();
   const auto interval = aIsolated ? this->settings.probeInterval : this->settings.deadProbeInterval;
@@ -156,7 +156,7 @@
   }
 }
 
-ProbeOrder
+ScheduledProbe
 ProbeScheduler::MakePing(PeerKey aTo)
 {
   return { aTo, DatagramKind::Ping, this->nextNonce++, 0 };
--- a/Lagoonward/Membership/ProbeScheduler.h
+++ b/Lagoonward/Membership/ProbeScheduler.h
@@ -10,7 +10,7 @@
 namespace lagoonward {
 
 /// A probe that is due to be sent.
-struct ProbeOrder
+struct ScheduledProbe
 {
   PeerKey to = 0;
   DatagramKind kind = DatagramKind::Ping;
@@ -34,18 +34,18 @@
 
   /// Returns the probes to send now.
   /// @param aIsolated  whether this daemon has no contact to any peer; it then probes other daemons too
-  [[nodiscard]] std::vector<ProbeOrder> DueProbes(PeerEntries& aEntries, const RegionGraph& aRegion,
-                                                  bool aIsolated);
+  [[nodiscard]] std::vector<ScheduledProbe> DueProbes(PeerEntries& aEntries,
+                                                      const RegionGraph& aRegion, bool aIsolated);
 
 private:
   void MarkRemoteTargets(PeerEntries& aEntries);
   void AddProbes(PeerEntry& aEntry, const PeerEntries& aEntries, const RegionGraph& aRegion,
-                 std::vector<ProbeOrder>& aOrders);
+                 std::vector<ScheduledProbe>& aOrders);
   void AddIndirectProbes(PeerEntry& aEntry, const PeerEntries& aEntries, const RegionGraph& aRegion,
-                         std::vector<ProbeOrder>& aOrders);
+                         std::vector<ScheduledProbe>& aOrders);
   void AddDiscoveryProbes(const PeerEntries& aEntries, bool aIsolated,
-                          std::vector<ProbeOrder>& aOrders);
-  [[nodiscard]] ProbeOrder MakePing(PeerKey aTo);
+                          std::vector<ScheduledProbe>& aOrders);
+  [[nodiscard]] ScheduledProbe MakePing(PeerKey aTo);
 
   const Clock& clock;
   PeerKey self;
--- a/Lagoonward/Membership/SharedStates.cpp
+++ b/Lagoonward/Membership/SharedStates.cpp
@@ -27,7 +27,7 @@
 bool
 SharedStates::Adopt(SharedState aState)
 {
-  if (!this->IsNews({ aState.Topic(), aState.version })) {
+  if (!this->IsNewer({ aState.Topic(), aState.version })) {
     return false;
   }
   if (this->validator && !this->validator(aState)) {
@@ -37,10 +37,10 @@
 }
 
 bool
-SharedStates::IsNews(const VersionNote& aNote) const
+SharedStates::IsNewer(const VersionAnnouncement& aAnnouncement) const
 {
-  const SharedState* known = this->Find(aNote.topic);
-  return known == nullptr || aNote.version > known->version;
+  const SharedState* known = this->Find(aAnnouncement.topic);
+  return known == nullptr || aAnnouncement.version > known->version;
 }
 
 const SharedState*
@@ -50,16 +50,16 @@
   return found == this->states.end() ? nullptr : &found->second;
 }
 
-std::vector<VersionNote>
-SharedStates::Notes(bool aWithRegional) const
+std::vector<VersionAnnouncement>
+SharedStates::VersionAnnouncements(bool aWithRegional) const
 {
-  std::vector<VersionNote> notes;
+  std::vector<VersionAnnouncement> announcements;
   for (const auto& [topic, state] : this->states) {
     if (aWithRegional || !state.IsRegional()) {
-      notes.push_back({ topic, state.version });
+      announcements.push_back({ topic, state.version });
     }
   }
-  return notes;
+  return announcements;
 }
 
 std::uint64_t
@@ -72,7 +72,7 @@
 SharedStates::Store(SharedState aState)
 {
   const std::uint64_t topic = aState.Topic();
-  if (!this->IsNews({ topic, aState.version })) {
+  if (!this->IsNewer({ topic, aState.version })) {
     return false;
   }
   SharedState& slot = this->states[topic];
--- a/Lagoonward/Membership/SharedStates.h
+++ b/Lagoonward/Membership/SharedStates.h
@@ -23,15 +23,15 @@
   /// Stores a state received from a peer. @return whether it was newer and valid
   bool Adopt(SharedState aState);
 
-  /// Whether a note names a version newer than the stored one.
-  [[nodiscard]] bool IsNews(const VersionNote& aNote) const;
+  /// Whether an announcement names a version newer than the stored one.
+  [[nodiscard]] bool IsNewer(const VersionAnnouncement& aAnnouncement) const;
 
   /// The state of a topic, or nullptr.
   [[nodiscard]] const SharedState* Find(std::uint64_t aTopic) const;
 
   /// The versions of all topics.
   /// @param aWithRegional  whether to include topics that are not sent to other regions
-  [[nodiscard]] std::vector<VersionNote> Notes(bool aWithRegional) const;
+  [[nodiscard]] std::vector<VersionAnnouncement> VersionAnnouncements(bool aWithRegional) const;
 
   /// Digest of the versions. Equal on daemons that have the same ones.
   [[nodiscard]] std::uint64_t Digest(bool aWithRegional) const;
--- a/Lagoonward/Membership/NewsSpreader.cpp
+++ b/Lagoonward/Membership/UpdateDisseminator.cpp
@@ -1,4 +1,4 @@
-#include "Lagoonward/Membership/NewsSpreader.h"
+#include "Lagoonward/Membership/UpdateDisseminator.h"
 
 #include "Lagoonward/Membership/FrameCodec.h"
 
@@ -18,37 +18,38 @@
 std::size_t
 BytesForChanges(const Datagram& aDatagram, std::size_t aLimit)
 {
-  const std::size_t used = kFixedBytes + aDatagram.loads.size() * kLoadFactBytes +
-                           aDatagram.states.size() * kStateFactBytes +
-                           aDatagram.versions.size() * kVersionNoteBytes;
+  const std::size_t used = kFixedBytes + aDatagram.loads.size() * kEndpointLoadUpdateBytes +
+                           aDatagram.states.size() * kEndpointStateUpdateBytes +
+                           aDatagram.versions.size() * kVersionAnnouncementBytes;
   return used >= aLimit ? 0 : aLimit - used;
 }
 
 /// Removes from the front as many versions as fit.
-std::vector<VersionNote>
-TakeFittingVersions(std::span<const VersionNote>& aVersions, std::size_t aBytes)
+std::vector<VersionAnnouncement>
+TakeFittingVersions(std::span<const VersionAnnouncement>& aVersions, std::size_t aBytes)
 {
-  const auto fitting = aVersions.first(std::min(aVersions.size(), aBytes / kVersionNoteBytes));
+  const auto fitting =
+    aVersions.first(std::min(aVersions.size(), aBytes / kVersionAnnouncementBytes));
   aVersions = aVersions.subspan(fitting.size());
   return { fitting.begin(), fitting.end() };
 }
 
 } // namespace
 
-NewsSpreader::NewsSpreader(Components aComponents, const MembershipSettings& aSettings)
+UpdateDisseminator::UpdateDisseminator(Components aComponents, const MembershipSettings& aSettings)
   : components(aComponents)
   , settings(aSettings)
 {
 }
 
 void
-NewsSpreader::Send(PeerKey aPeer, Datagram aDatagram)
+UpdateDisseminator::Send(PeerKey aPeer, Datagram aDatagram)
 {
   const Peer* const peer = this->components.peers.Find(aPeer);
   if (peer == nullptr) {
     return;
   }
-  if (aDatagram.kind != DatagramKind::Spread) {
+  if (aDatagram.kind != DatagramKind::Gossip) {
     aDatagram.incarnation = this->components.peers.Incarnation();
     aDatagram.state = this->components.peers.OwnState();
     aDatagram.digest = this->components.exchange.DigestFor(aPeer);
@@ -59,7 +60,7 @@
 }
 
 void
-NewsSpreader::SendLoads()
+UpdateDisseminator::SendLoads()
 {
   const auto receivers =
     this->components.peers.Region().Successors(this->settings.loads.loadFanout);
@@ -79,22 +80,23 @@
 }
 
 bool
-NewsSpreader::SendUpdates()
+UpdateDisseminator::SendUpdates()
 {
   // Endpoint states and regional versions are sent within the region only
-  const PeerExchange::Notes notes = this->components.exchange.TakeNotes();
-  std::vector<VersionNote> inRegion = notes.regional;
-  inRegion.insert(inRegion.end(), notes.global.begin(), notes.global.end());
+  const PeerExchange::Announcements announcements = this->components.exchange.TakeAnnouncements();
+  std::vector<VersionAnnouncement> inRegion = announcements.regional;
+  inRegion.insert(inRegion.end(), announcements.global.begin(), announcements.global.end());
   const std::size_t bytes = this->settings.transport.maximumDatagram - kFixedBytes;
-  std::vector<StateFact> states = this->components.loads.TakeStates(bytes / kStateFactBytes);
+  std::vector<EndpointStateUpdate> states =
+    this->components.loads.TakeStates(bytes / kEndpointStateUpdateBytes);
   const bool hasStates = !states.empty();
   this->SendInRegion(std::move(states), inRegion);
-  this->SendToOtherRegions(notes.global);
+  this->SendToOtherRegions(announcements.global);
   return hasStates;
 }
 
 void
-NewsSpreader::SendOwnState()
+UpdateDisseminator::SendOwnState()
 {
   for (const PeerKey peer :
        this->components.peers.Region().Successors(this->settings.loads.updateFanout)) {
@@ -103,7 +105,8 @@
 }
 
 void
-NewsSpreader::SendInRegion(std::vector<StateFact> aStates, std::span<const VersionNote> aVersions)
+UpdateDisseminator::SendInRegion(std::vector<EndpointStateUpdate> aStates,
+                                 std::span<const VersionAnnouncement> aVersions)
 {
   const std::size_t bytes = this->settings.transport.maximumDatagram - kFixedBytes;
   const auto receivers =
@@ -112,16 +115,16 @@
     Datagram datagram;
     datagram.states = std::move(aStates);
     datagram.versions =
-      TakeFittingVersions(aVersions, bytes - datagram.states.size() * kStateFactBytes);
+      TakeFittingVersions(aVersions, bytes - datagram.states.size() * kEndpointStateUpdateBytes);
     for (const PeerKey peer : receivers) {
       this->Send(peer, datagram);
     }
-    aStates = this->components.loads.TakeStates(bytes / kStateFactBytes);
+    aStates = this->components.loads.TakeStates(bytes / kEndpointStateUpdateBytes);
   }
 }
 
 void
-NewsSpreader::SendToOtherRegions(std::span<const VersionNote> aVersions)
+UpdateDisseminator::SendToOtherRegions(std::span<const VersionAnnouncement> aVersions)
 {
   const std::size_t bytes = this->settings.transport.maximumDatagram - kFixedBytes;
   while (!aVersions.empty()) {
--- a/Lagoonward/Membership/NewsSpreader.h
+++ b/Lagoonward/Membership/UpdateDisseminator.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "Lagoonward/Membership/LoadWatch.h"
+#include "Lagoonward/Membership/EndpointMonitor.h"
 #include "Lagoonward/Membership/MembershipSettings.h"
 #include "Lagoonward/Membership/PeerExchange.h"
 #include "Lagoonward/Membership/PeerTable.h"
@@ -12,7 +12,7 @@
 
 /// Sends datagrams to other daemons and fills each with the membership changes that fit. Used on the control thread
 /// only.
-class NewsSpreader
+class UpdateDisseminator
 {
 public:
   /// References to the components whose updates it sends. They must outlive it.
@@ -20,11 +20,11 @@
   {
     PeerTransport& transport;
     PeerTable& peers;
-    LoadWatch& loads;
+    EndpointMonitor& loads;
     PeerExchange& exchange;
   };
 
-  NewsSpreader(Components aComponents, const MembershipSettings& aSettings);
+  UpdateDisseminator(Components aComponents, const MembershipSettings& aSettings);
 
   /// Sends one datagram, adding this daemon's own state (except for kind `Spread`) and the membership changes that fit.
   void Send(PeerKey aPeer, Datagram aDatagram);
@@ -40,8 +40,9 @@
   void SendOwnState();
 
 private:
-  void SendInRegion(std::vector<StateFact> aStates, std::span<const VersionNote> aVersions);
-  void SendToOtherRegions(std::span<const VersionNote> aVersions);
+  void SendInRegion(std::vector<EndpointStateUpdate> aStates,
+                    std::span<const VersionAnnouncement> aVersions);
+  void SendToOtherRegions(std::span<const VersionAnnouncement> aVersions);
 
   Components components;
   const MembershipSettings& settings;
--- a/Lagoonward/Metering/UsageBook.cpp
+++ b/Lagoonward/Metering/UsageAccumulator.cpp
@@ -1,17 +1,17 @@
-#include "Lagoonward/Metering/UsageBook.h"
+#include "Lagoonward/Metering/UsageAccumulator.h"
 
 #include <algorithm>
 
 namespace lagoonward {
 
-UsageBook::UsageBook(const UsageBookSettings& aSettings, const Clock& aClock)
+UsageAccumulator::UsageAccumulator(const UsageAccumulatorSettings& aSettings, const Clock& aClock)
   : settings(aSettings)
   , clock(aClock)
 {
 }
 
 void
-UsageBook::OnCounts(std::uint64_t aRun, const UsageByWindow& aCounts, Milliseconds aAge)
+UsageAccumulator::OnCounts(std::uint64_t aRun, const UsageByWindow& aCounts, Milliseconds aAge)
 {
   Run& run = this->runs[aRun];
   run.lastReceived = std::max(run.lastReceived, this->clock.Now() - aAge);
@@ -25,7 +25,7 @@
 }
 
 UsageCounts
-UsageBook::TotalOf(std::int64_t aWindow) const
+UsageAccumulator::TotalOf(std::int64_t aWindow) const
 {
   UsageCounts total;
   for (const auto& [key, run] : this->runs) {
@@ -41,7 +41,7 @@
 }
 
 UsageByWindow
-UsageBook::Totals() const
+UsageAccumulator::Totals() const
 {
   UsageByWindow totals;
   for (const auto& [key, run] : this->runs) {
@@ -56,43 +56,43 @@
 }
 
 Milliseconds
-UsageBook::Age() const
+UsageAccumulator::OldestAge() const
 {
   Milliseconds oldest{ 0 };
   for (const auto& [key, run] : this->runs) {
     const auto age = std::chrono::floor<Milliseconds>(this->clock.Now() - run.lastReceived);
-    oldest = age <= this->settings.silence ? std::max(oldest, age) : oldest;
+    oldest = age <= this->settings.silenceTimeout ? std::max(oldest, age) : oldest;
   }
   return oldest;
 }
 
 bool
-UsageBook::IsDue(Milliseconds aSinceEnd) const
+UsageAccumulator::IsDue(Milliseconds aSinceEnd) const
 {
-  if (aSinceEnd < this->settings.settle || aSinceEnd > this->settings.oldest) {
+  if (aSinceEnd < this->settings.settleDelay || aSinceEnd > this->settings.maximumAge) {
     return false;
   }
-  if (aSinceEnd >= this->settings.patience) {
+  if (aSinceEnd >= this->settings.reportTimeout) {
     return true;
   }
   // Due earlier if every live daemon has sent its counts since the end of the window
   const TimePoint now = this->clock.Now();
-  const TimePoint settled = now - aSinceEnd + this->settings.settle / 2;
+  const TimePoint settled = now - aSinceEnd + this->settings.settleDelay / 2;
   return std::all_of(this->runs.begin(), this->runs.end(), [&](const auto& aRun) {
     const TimePoint lastReceived = aRun.second.lastReceived;
-    return lastReceived >= settled || now - lastReceived > this->settings.silence;
+    return lastReceived >= settled || now - lastReceived > this->settings.silenceTimeout;
   });
 }
 
 void
-UsageBook::Forget(std::int64_t aBefore)
+UsageAccumulator::EvictBefore(std::int64_t aBefore)
 {
   for (auto& [key, run] : this->runs) {
     std::erase_if(run.windows, [&](const auto& aEntry) { return aEntry.first < aBefore; });
   }
   std::erase_if(this->runs, [&](const auto& aRun) {
     return aRun.second.windows.empty() &&
-           this->clock.Now() - aRun.second.lastReceived > this->settings.oldest;
+           this->clock.Now() - aRun.second.lastReceived > this->settings.maximumAge;
   });
 }
 
--- a/Lagoonward/Metering/UsageBook.h
+++ b/Lagoonward/Metering/UsageAccumulator.h
@@ -10,28 +10,28 @@
 namespace lagoonward {
 
 /// Tunables of usage reporting.
-struct UsageBookSettings
+struct UsageAccumulatorSettings
 {
   /// Minimum time between the end of a window and its report. The last counts need one interval of the messages between
   /// daemons and a little more to arrive.
-  Milliseconds settle{ 1200 };
+  Milliseconds settleDelay{ 1200 };
 
   /// Time after the end of a window at which it is reported even if some daemon has not sent its counts since that end.
-  Milliseconds patience{ 5000 };
+  Milliseconds reportTimeout{ 5000 };
 
   /// A daemon that has sent nothing for this long is taken to have terminated; its last counts are used.
-  Milliseconds silence{ 3000 };
+  Milliseconds silenceTimeout{ 3000 };
 
   /// Windows that ended longer ago are no longer reported.
-  Milliseconds oldest = kUsageReportable;
+  Milliseconds maximumAge = kUsageReportPeriod;
 };
 
 /// Sums the usage counts of all daemons and decides when a window can be reported. Counts are cumulative per window and
 /// run of a daemon, so messages may be lost, repeated or reordered. Not thread-safe.
-class UsageBook
+class UsageAccumulator
 {
 public:
-  UsageBook(const UsageBookSettings& aSettings, const Clock& aClock);
+  UsageAccumulator(const UsageAccumulatorSettings& aSettings, const Clock& aClock);
 
   /// Records the counts of a daemon.
   /// @param aRun  identifies the daemon and its run, as a restarted daemon counts from zero
@@ -43,7 +43,7 @@
   [[nodiscard]] UsageByWindow Totals() const;
 
   /// Age of the newest counts of the least recently received daemon, among those within the silence timeout.
-  [[nodiscard]] Milliseconds Age() const;
+  [[nodiscard]] Milliseconds OldestAge() const;
 
   /// The sum over all daemons for one window.
   [[nodiscard]] UsageCounts TotalOf(std::int64_t aWindow) const;
@@ -52,7 +52,7 @@
   [[nodiscard]] bool IsDue(Milliseconds aSinceEnd) const;
 
   /// Evicts the windows before the given one, and runs without windows past the reporting period.
-  void Forget(std::int64_t aBefore);
+  void EvictBefore(std::int64_t aBefore);
 
 private:
   struct Run
@@ -61,7 +61,7 @@
     UsageByWindow windows;
   };
 
-  UsageBookSettings settings;
+  UsageAccumulatorSettings settings;
   const Clock& clock;
   std::map<std::uint64_t, Run> runs;
 };
--- a/Lagoonward/Metering/UsageCounter.cpp
+++ b/Lagoonward/Metering/UsageCounter.cpp
@@ -23,7 +23,7 @@
 }
 
 void
-UsageCounter::OnBegan(std::string_view aAccount)
+UsageCounter::OnStarted(std::string_view aAccount)
 {
   const std::int64_t current = this->CurrentWindow();
   const std::lock_guard lock(this->mutex);
@@ -34,7 +34,7 @@
   } else {
     ++known->second;
   }
-  const std::int64_t oldest = this->OldestReportable();
+  const std::int64_t oldest = this->OldestReportableWindow();
   std::erase_if(this->windows, [&](const auto& aEntry) { return aEntry.first < oldest; });
 }
 
@@ -53,9 +53,9 @@
 }
 
 std::int64_t
-UsageCounter::OldestReportable() const
+UsageCounter::OldestReportableWindow() const
 {
-  return this->WindowAt(this->wallClock.Now() - kUsageReportable);
+  return this->WindowAt(this->wallClock.Now() - kUsageReportPeriod);
 }
 
 std::int64_t
@@ -65,7 +65,7 @@
 }
 
 Milliseconds
-UsageCounter::SinceEndOf(std::int64_t aWindow) const
+UsageCounter::TimeSinceEnd(std::int64_t aWindow) const
 {
   const std::int64_t length = std::chrono::duration_cast<Milliseconds>(this->window).count();
   return Milliseconds(ToUnixMilliseconds(this->wallClock.Now()) - (aWindow + 1) * length);
--- a/Lagoonward/Metering/UsageCounter.h
+++ b/Lagoonward/Metering/UsageCounter.h
@@ -18,7 +18,7 @@
 
 /// Time after its end within which a window may be reported. Reports are recorded in a log that retains its records for
 /// 20 s: later it cannot be ruled out that a window is reported a second time.
-inline constexpr Milliseconds kUsageReportable{ 18'000 };
+inline constexpr Milliseconds kUsageReportPeriod{ 18'000 };
 
 /// Wall-clock time that is unaffected by jumps of the host's clock: read once at construction, then advanced by the
 /// clock that includes suspension. This keeps the windows of a daemon aligned with those of other daemons.
@@ -42,19 +42,19 @@
   UsageCounter(Seconds aWindow, const Clock& aClock);
 
   /// Counts a request of an account that has started to run.
-  void OnBegan(std::string_view aAccount);
+  void OnStarted(std::string_view aAccount);
 
   /// Counts of the retained windows, including the current one.
   [[nodiscard]] UsageByWindow Read() const;
 
   /// The oldest window that may still be reported.
-  [[nodiscard]] std::int64_t OldestReportable() const;
+  [[nodiscard]] std::int64_t OldestReportableWindow() const;
 
   /// The window of the current time.
   [[nodiscard]] std::int64_t CurrentWindow() const;
 
   /// Time since the end of a window; negative before its end.
-  [[nodiscard]] Milliseconds SinceEndOf(std::int64_t aWindow) const;
+  [[nodiscard]] Milliseconds TimeSinceEnd(std::int64_t aWindow) const;
 
 private:
   [[nodiscard]] std::int64_t WindowAt(WallTime aTime) const;
--- a/Lagoonward/Metering/UsageRecord.cpp
+++ b/Lagoonward/Metering/UsageRecord.cpp
@@ -73,7 +73,7 @@
 }
 
 void
-UsageLedger::Forget(std::int64_t aBefore)
+UsageLedger::EvictBefore(std::int64_t aBefore)
 {
   std::erase_if(this->records, [&](const auto& aEntry) { return aEntry.first < aBefore; });
 }
--- a/Lagoonward/Metering/UsageRecord.h
+++ b/Lagoonward/Metering/UsageRecord.h
@@ -44,7 +44,7 @@
   [[nodiscard]] const std::map<std::int64_t, UsageRecord>& Records() const { return this->records; }
 
   /// Evicts the windows before the given one.
-  void Forget(std::int64_t aBefore);
+  void EvictBefore(std::int64_t aBefore);
 
 private:
   Offset next = 0;
--- a/Lagoonward/Placement/DemandBook.cpp
+++ b/Lagoonward/Placement/DemandAccumulator.cpp
@@ -1,4 +1,4 @@
-#include "Lagoonward/Placement/DemandBook.h"
+#include "Lagoonward/Placement/DemandAccumulator.h"
 
 #include <cmath>
 
@@ -12,14 +12,14 @@
 
 } // namespace
 
-DemandBook::DemandBook(Milliseconds aRetention, const Clock& aClock)
+DemandAccumulator::DemandAccumulator(Milliseconds aRetention, const Clock& aClock)
   : retention(aRetention)
   , clock(aClock)
 {
 }
 
 void
-DemandBook::OnTotals(std::uint64_t aRun, const WorkByService& aTotals)
+DemandAccumulator::OnTotals(std::uint64_t aRun, const WorkByService& aTotals)
 {
   const TimePoint now = this->clock.Now();
   std::erase_if(this->runs, [&](const auto& aEntry) {
@@ -46,7 +46,7 @@
 }
 
 EngineWork
-DemandBook::RateOf(const std::string& aService) const
+DemandAccumulator::RateOf(const std::string& aService) const
 {
   const WorkByService rates = this->Rates();
   const auto found = rates.find(aService);
@@ -54,7 +54,7 @@
 }
 
 WorkByService
-DemandBook::Rates() const
+DemandAccumulator::Rates() const
 {
   WorkByService sums;
   for (const auto& [key, run] : this->runs) {
--- a/Lagoonward/Placement/DemandBook.h
+++ b/Lagoonward/Placement/DemandAccumulator.h
@@ -12,11 +12,11 @@
 
 /// Computes the rate of work that all daemons together send to each service, from the totals that they report. Totals
 /// are cumulative per run of a daemon, so messages may be lost or repeated. Not thread-safe.
-class DemandBook
+class DemandAccumulator
 {
 public:
   /// @param aRetention  a daemon that has sent no report for longer than this is not counted
-  DemandBook(Milliseconds aRetention, const Clock& aClock);
+  DemandAccumulator(Milliseconds aRetention, const Clock& aClock);
 
   /// Applies a daemon's report of the work that it has sent to endpoints since its start.
   /// @param aRun  identifies the daemon and its run
--- a/Lagoonward/Placement/DemandSizing.cpp
+++ b/Lagoonward/Placement/DemandSizing.cpp
@@ -10,7 +10,7 @@
 
 /// The failure domains of the constraints, cheapest first.
 std::vector<std::string>
-ByPrice(const SizingTerms& aConstraints)
+ByPrice(const SizingConstraints& aConstraints)
 {
   std::vector<std::string> domains;
   for (const auto& [domain, price] : aConstraints.prices) {
@@ -68,7 +68,7 @@
 }
 
 double
-DemandSizing::Need() const
+DemandSizing::RequiredEndpoints() const
 {
   const double need = this->PeakLoad() / this->settings.utilization;
   return this->IsLoadKnown() ? need : std::max(need, static_cast<double>(this->initialEndpoints));
@@ -91,12 +91,12 @@
 }
 
 std::map<std::string, DomainCount>
-DemandSizing::Target(const SizingTerms& aConstraints,
+DemandSizing::Target(const SizingConstraints& aConstraints,
                      const std::map<std::string, DomainCount>& aLive) const
 {
   std::map<std::string, DomainCount> target;
   const std::vector<std::string> domains = ByPrice(aConstraints);
-  const double need = this->Need();
+  const double need = this->RequiredEndpoints();
 
   // Distribute reclaimable endpoints evenly, starting with the cheapest domains
   int remaining = static_cast<int>(std::ceil(need * this->settings.reserveFactor));
@@ -174,7 +174,8 @@
 }
 
 std::vector<SizingOrder>
-DemandSizing::Plan(const SizingTerms& aConstraints, const std::map<std::string, DomainCount>& aLive)
+DemandSizing::Plan(const SizingConstraints& aConstraints,
+                   const std::map<std::string, DomainCount>& aLive)
 {
   int live = 0;
   for (const auto& [domain, count] : aLive) {
--- a/Lagoonward/Placement/DemandSizing.h
+++ b/Lagoonward/Placement/DemandSizing.h
@@ -52,7 +52,7 @@
 };
 
 /// Constraints on the orders for a service's endpoints.
-struct SizingTerms
+struct SizingConstraints
 {
   int minimum = 0; ///< Per failure domain, ordinary and reclaimable together.
   int maximum = 0; ///< Likewise.
@@ -87,7 +87,7 @@
   void OnLoad(double aLoad);
 
   /// The orders that are due, most urgent first.
-  [[nodiscard]] std::vector<SizingOrder> Plan(const SizingTerms& aConstraints,
+  [[nodiscard]] std::vector<SizingOrder> Plan(const SizingConstraints& aConstraints,
                                               const std::map<std::string, DomainCount>& aLive);
 
   /// Must be called when an order was accepted.
@@ -97,7 +97,7 @@
   void OnUnavailable(const SizingOrder& aOrder);
 
   /// Number of endpoints required for the load, without the reserve; for logs.
-  [[nodiscard]] double Need() const;
+  [[nodiscard]] double RequiredEndpoints() const;
 
   /// Number of endpoints below which the load cannot be carried; ordinary ones are ordered to reach it.
   [[nodiscard]] double MinimumRequiredEndpoints() const;
@@ -119,7 +119,7 @@
   };
 
   [[nodiscard]] std::map<std::string, DomainCount> Target(
-    const SizingTerms& aConstraints, const std::map<std::string, DomainCount>& aLive) const;
+    const SizingConstraints& aConstraints, const std::map<std::string, DomainCount>& aLive) const;
   [[nodiscard]] double PeakLoad() const;
   [[nodiscard]] bool IsLoadKnown() const;
   [[nodiscard]] bool IsUnavailable(const std::string& aDomain) const;
--- a/Lagoonward/Placement/Placement.cpp
+++ b/Lagoonward/Placement/Placement.cpp
@@ -28,7 +28,7 @@
   : settings(aSettings)
   , market(std::move(aMarket))
   , region(std::move(aRegion))
-  , activeFrom(aNow + aSettings.settle)
+  , activeFrom(aNow + aSettings.settleTime)
   , loadsAllowedFrom(aNow)
   , hostStarts(aSettings, this->market, this->region)
   , offerSelector(aSettings)
--- a/Lagoonward/Placement/Placement.h
+++ b/Lagoonward/Placement/Placement.h
@@ -10,13 +10,13 @@
 
 /// Reconciles the fleet with one market's manifest. Level-triggered: each call compares the desired state with the
 /// endpoints' reports and returns the next orders. Its own state only avoids repeating an order; a new leader starts
-/// without it. Performs no I/O: the caller executes the orders, authorized by LeaseKeeper::Authorize(), and reports
+/// without it. Performs no I/O: the caller executes the orders, authorized by LeaseManager::Authorize(), and reports
 /// their results. Orders are repeated until the endpoints' reports show that they took effect. Not thread-safe; see
 /// docs/design/placement.md.
 class Placement
 {
 public:
-  /// @param aNow  time at which this daemon became leader; it only observes for `settle` after that
+  /// @param aNow  time at which this daemon became leader; it only observes for `settleTime` after that
   Placement(const PlacementSettings& aSettings, std::string aMarket, std::string aRegion,
             TimePoint aNow);
 
--- a/Lagoonward/Placement/PlacementOrder.h
+++ b/Lagoonward/Placement/PlacementOrder.h
@@ -52,7 +52,7 @@
   std::vector<ModelDemand> demand;
 
   /// Manifests of other markets of the region; models that they name are not unloaded.
-  std::vector<const Manifest*> others;
+  std::vector<const Manifest*> otherManifests;
 };
 
 } // namespace lagoonward
--- a/Lagoonward/Placement/PlacementRoundRemoval.cpp
+++ b/Lagoonward/Placement/PlacementRoundRemoval.cpp
@@ -19,7 +19,7 @@
 bool
 Placement::Round::IsWantedByOthers(const LoadedModel& aLoaded) const
 {
-  return std::any_of(this->view.others.begin(), this->view.others.end(),
+  return std::any_of(this->view.otherManifests.begin(), this->view.otherManifests.end(),
                      [&](const Manifest* aManifest) {
                        return aManifest->FindModel(aLoaded.name, aLoaded.version) != nullptr;
                      });
--- a/Lagoonward/Placement/PlacementSettings.h
+++ b/Lagoonward/Placement/PlacementSettings.h
@@ -16,7 +16,7 @@
   Milliseconds refusedLoadPause{ 60'000 };   ///< For an endpoint that refused a load.
 
   /// A new leader only observes for this long, until reports and the host list are up to date.
-  Milliseconds settle{ 10'000 };
+  Milliseconds settleTime{ 10'000 };
 
   /// A version that is no longer needed is unloaded from a busy endpoint only after this long.
   Milliseconds unloadDrain{ 600'000 };
--- a/Lagoonward/Providers/Backoff.h
+++ b/Lagoonward/Providers/Backoff.h
@@ -9,8 +9,8 @@
 /// Settings of a Backoff.
 struct BackoffSettings
 {
-  Milliseconds first{ 100 };    ///< Upper bound of the delay after the first failure.
-  Milliseconds longest{ 2000 }; ///< Limit up to which the bound doubles.
+  Milliseconds initialDelay{ 100 };  ///< Upper bound of the delay after the first failure.
+  Milliseconds maximumDelay{ 2000 }; ///< Limit up to which the bound doubles.
 };
 
 /// Exponential backoff between attempts to call the platform. The delay is random within the upper half of its bound,
--- a/Lagoonward/Providers/HttpCloudService.cpp
+++ b/Lagoonward/Providers/HttpCloudService.cpp
@@ -69,7 +69,7 @@
   call.method = "POST";
   call.path = "/hosts";
   call.body = WriteHostRequest(aRequest);
-  call.refusal = kNoCapacity;
+  call.expectedErrorKind = kNoCapacity;
   const auto response = this->client.Call(call);
   if (!response) {
     return response.error();
@@ -79,8 +79,8 @@
       ErrorKind::Overloaded,
       fmt::format("the cloud refused to start the host: status {}", response.value().status));
   }
-  return DecodeAnswer(response.value(),
-                      [](JsonReader& aReader) { return aReader.ReadString("id"); });
+  return DecodeResponse(response.value(),
+                        [](JsonReader& aReader) { return aReader.ReadString("id"); });
 }
 
 Result<void>
@@ -123,7 +123,7 @@
   if (!response) {
     return response.error();
   }
-  return DecodeAnswer(response.value(), [](JsonReader& aReader) {
+  return DecodeResponse(response.value(), [](JsonReader& aReader) {
     NoticePage page;
     page.start = aReader.ReadInteger("start", kPlatformIntegers);
     page.end = aReader.ReadInteger("end", kPlatformIntegers);
--- a/Lagoonward/Providers/HttpLogService.cpp
+++ b/Lagoonward/Providers/HttpLogService.cpp
@@ -57,7 +57,7 @@
   if (!response) {
     return response.error();
   }
-  return DecodeAnswer(response.value(), [](JsonReader& aReader) {
+  return DecodeResponse(response.value(), [](JsonReader& aReader) {
     return Offset{ aReader.ReadInteger("offset", kPlatformIntegers) };
   });
 }
@@ -73,8 +73,8 @@
   if (!response) {
     return response.error();
   }
-  return DecodeAnswer(response.value(),
-                      [aFrom](JsonReader& aReader) { return ReadPage(aReader, aFrom); });
+  return DecodeResponse(response.value(),
+                        [aFrom](JsonReader& aReader) { return ReadPage(aReader, aFrom); });
 }
 
 void
--- a/Lagoonward/Providers/PlatformDecoder.h
+++ b/Lagoonward/Providers/PlatformDecoder.h
@@ -15,7 +15,7 @@
 /// effect of the call is then unknown.
 template<typename Read>
 auto
-DecodeAnswer(const PlatformAnswer& aAnswer, Read aRead)
+DecodeResponse(const PlatformResponse& aAnswer, Read aRead)
   -> Result<decltype(aRead(std::declval<JsonReader&>()))>
 {
   constexpr int kFirstFailure = 300;
@@ -59,7 +59,7 @@
 /// Decodes a body that is an array of objects with DecodeEntries().
 template<typename Read>
 auto
-DecodeList(const PlatformAnswer& aAnswer, std::string_view aWhat, const Log& aLog, Read aRead)
+DecodeList(const PlatformResponse& aAnswer, std::string_view aWhat, const Log& aLog, Read aRead)
   -> Result<std::vector<decltype(aRead(std::declval<JsonReader&>()))>>
 {
   JsonFaults faults;
--- a/Lagoonward/Providers/PlatformHttpClient.cpp
+++ b/Lagoonward/Providers/PlatformHttpClient.cpp
@@ -153,7 +153,7 @@
 
 PlatformHttpClient::~PlatformHttpClient() = default;
 
-Result<PlatformAnswer>
+Result<PlatformResponse>
 PlatformHttpClient::Call(const PlatformCall& aCall)
 {
   if (this->interrupted) {
@@ -189,13 +189,14 @@
   }
   const bool isUnavailable =
     status == kTooManyRequests || status == kRequestTimeout || status >= kFirstServerError;
-  if (isUnavailable && !(status == kUnavailable && HasErrorKind(transfer.body, aCall.refusal))) {
+  if (isUnavailable &&
+      !(status == kUnavailable && HasErrorKind(transfer.body, aCall.expectedErrorKind))) {
     const Error error = this->MakeUnavailableError(fmt::format("status {}", status), handle.get());
     this->ReleaseHandle(std::move(handle));
     return error;
   }
   this->ReleaseHandle(std::move(handle));
-  return PlatformAnswer{ static_cast<int>(status), std::move(transfer.body) };
+  return PlatformResponse{ static_cast<int>(status), std::move(transfer.body) };
 }
 
 void
--- a/Lagoonward/Providers/PlatformHttpClient.h
+++ b/Lagoonward/Providers/PlatformHttpClient.h
@@ -23,11 +23,12 @@
   std::vector<std::string> headers; ///< Additional header lines, `Name: value`.
   Milliseconds wait{ 0 };           ///< Time for which the service may delay its response.
   bool discardsBody = false;        ///< Aborts the call once the status is received.
-  std::string refusal; ///< Error kind that is a valid response also with status 503; may be empty.
+  std::string
+    expectedErrorKind; ///< Error kind that is a valid response also with status 503; may be empty.
 };
 
 /// The response of the service.
-struct PlatformAnswer
+struct PlatformResponse
 {
   int status = 0;
   std::string body;
@@ -47,7 +48,7 @@
   /// @return the response with any status, except that 408, 429, 5xx (unless the call expects its error
   ///         kind), timeouts and responses that are too long give PlatformUnavailable with `retryAfter`.
   ///         Such a call may still have taken effect.
-  [[nodiscard]] Result<PlatformAnswer> Call(const PlatformCall& aCall);
+  [[nodiscard]] Result<PlatformResponse> Call(const PlatformCall& aCall);
 
   /// Makes calls in progress and all later calls fail within about a second.
   void Interrupt();
--- a/Lagoonward/Reclaim/MovePlanner.cpp
+++ b/Lagoonward/Reclaim/MovePlanner.cpp
@@ -88,7 +88,7 @@
 TimePoint
 Planning::LatestSafeTime(const StreamView& aStream) const
 {
-  return aStream.goneAfter - this->settings.safetyMargin;
+  return aStream.availableUntil - this->settings.safetyMargin;
 }
 
 const MoveTarget*
@@ -102,7 +102,7 @@
   const int plannedMoves = this->reservations.PlannedMoves(aEndpoint);
   const bool full =
     plannedMoves >= target.freeSlots || plannedMoves >= this->settings.maxMovesPerTarget;
-  return target.leaving || target.domainGoing || full ? nullptr : &target;
+  return target.leaving || target.domainLeaving || full ? nullptr : &target;
 }
 
 bool
@@ -121,7 +121,7 @@
   }
   // Abandon an export that can no longer end in time
   const bool late = aStream.inProgress->kind == MoveKind::ExportImport &&
-                    aStream.inProgress->readyAt > aStream.goneAfter;
+                    aStream.inProgress->readyAt > aStream.availableUntil;
   return !late && this->FindUsable(aStream.inProgress->target, aStream) != nullptr;
 }
 
@@ -193,7 +193,7 @@
   const TimePoint desiredStart =
     this->reservations.LatestHandover(aTarget.endpoint, this->LatestSafeTime(aStream), prefill);
   const TimePoint start = std::max(this->now, desiredStart);
-  const bool alive = aStream.goneAfter > this->now;
+  const bool alive = aStream.availableUntil > this->now;
   const double generatedUntilStart =
     alive ? SecondsOf(start - this->now) * aStream.tokensPerSecond : 0;
   const double additional = std::min(generatedUntilStart, aStream.expectedRemaining);
@@ -288,8 +288,8 @@
   if (leftPlanned != rightPlanned) {
     return leftPlanned;
   }
-  if (aLeft.goneAfter != aRight.goneAfter) {
-    return aLeft.goneAfter < aRight.goneAfter;
+  if (aLeft.availableUntil != aRight.availableUntil) {
+    return aLeft.availableUntil < aRight.availableUntil;
   }
   const int leftTokens = aLeft.promptTokens + aLeft.generatedTokens;
   const int rightTokens = aRight.promptTokens + aRight.generatedTokens;
--- a/Lagoonward/Reclaim/MoveTypes.h
+++ b/Lagoonward/Reclaim/MoveTypes.h
@@ -43,8 +43,8 @@
 struct StreamView
 {
   std::string id;
-  std::string endpoint; ///< Id of the endpoint that runs it.
-  TimePoint goneAfter;  ///< End of the endpoint's guaranteed time; past if it has terminated.
+  std::string endpoint;     ///< Id of the endpoint that runs it.
+  TimePoint availableUntil; ///< End of the endpoint's guaranteed time; past if it has terminated.
   int promptTokens = 0;
   int generatedTokens = 0;         ///< Tokens that the daemon has received.
   double expectedRemaining = 0;    ///< Estimated number of tokens left to generate.
@@ -62,7 +62,7 @@
   std::string endpoint;
   std::string failureDomain;
   bool leaving = false;        ///< Under a reclaim notice, or not live.
-  bool domainGoing = false;    ///< Its failure domain as a whole is leaving.
+  bool domainLeaving = false;  ///< Its failure domain as a whole is leaving.
   int freeSlots = 0;           ///< Number of additional streams that it can run.
   double tokensPerSecond = 30; ///< Generation rate of an additional stream.
   double prefillTokensPerSecond = 8'000;
--- a/Lagoonward/Reclaim/ReclaimSettings.h
+++ b/Lagoonward/Reclaim/ReclaimSettings.h
@@ -42,10 +42,10 @@
   int uncachedCandidates = 6;
 
   /// Fraction of a failure domain's hosts under notice from which the whole domain counts as leaving.
-  double domainGoingShare = 0.5;
+  double domainLeavingRatio = 0.5;
 
-  /// Least number of hosts under notice for domainGoingShare to apply.
-  int domainGoingHosts = 2;
+  /// Least number of hosts under notice for domainLeavingRatio to apply.
+  int domainLeavingMinHosts = 2;
 
   /// Grace period assumed if only the host list or the endpoint itself reports that it is leaving.
   Milliseconds defaultGrace{ 10'000 };
--- a/Lagoonward/Reclaim/RetryFromScratch.cpp
+++ b/Lagoonward/Reclaim/RetryFromScratch.cpp
@@ -11,7 +11,7 @@
 bool
 IsUsable(const MoveTarget& aTarget, const StreamView& aStream)
 {
-  return !aTarget.leaving && !aTarget.domainGoing && aTarget.endpoint != aStream.endpoint;
+  return !aTarget.leaving && !aTarget.domainLeaving && aTarget.endpoint != aStream.endpoint;
 }
 
 /// Time to process aTokens at aRate tokens per second.
@@ -60,7 +60,7 @@
       --slots[best->endpoint];
       plan.kind = MoveKind::Reprefill;
       plan.target = best->endpoint;
-      plan.startAt = std::max(aNow, stream.goneAfter);
+      plan.startAt = std::max(aNow, stream.availableUntil);
       const double uncachedPrompt = std::max(0, stream.promptTokens - cached);
       plan.recomputedTokens = uncachedPrompt + stream.generatedTokens;
       const auto gap = DurationOf(uncachedPrompt, best->prefillTokensPerSecond) +
--- a/Lagoonward/Relay/AttemptEnd.cpp
+++ b/Lagoonward/Relay/AttemptResult.cpp
@@ -1,4 +1,4 @@
-#include "Lagoonward/Relay/AttemptEnd.h"
+#include "Lagoonward/Relay/AttemptResult.h"
 
 namespace lagoonward {
 
@@ -20,7 +20,7 @@
       return "connection_lost";
     case AttemptCause::Restarted:
       return "restarted";
-    case AttemptCause::Silent:
+    case AttemptCause::TimedOut:
       return "silent";
   }
   return "none";
