--- a/Lagoonward/Relay/AttemptEnd.h
+++ b/Lagoonward/Relay/AttemptResult.h
@@ -19,7 +19,7 @@
 /// What is known about the execution of a request after one attempt has finished.
 enum class AttemptOutcome
 {
-  Whole,   ///< A complete success response of the endpoint.
+  Success, ///< A complete success response of the endpoint.
   Failure, ///< A complete failure response of the endpoint; the request ran.
   NotSent, ///< The request provably never left this host.
   NotRun,  ///< The endpoint stated that it did not run the request.
@@ -36,7 +36,7 @@
   InvalidResponse, ///< The response is incomplete, malformed or belongs to another request.
   ConnectionLost,  ///< The connection broke after the request may have been sent.
   Restarted,       ///< The endpoint has restarted since the request was sent.
-  Silent,          ///< No data arrived within the silence timeout, or the transfer timed out.
+  TimedOut,        ///< No data arrived within the silence timeout, or the transfer timed out.
 };
 
 /// Name of the cause in logs, for example "connection_lost".
@@ -49,13 +49,13 @@
 IsPossibleCrash(AttemptCause aCause);
 
 /// Result of one attempt.
-struct AttemptEnd
+struct AttemptResult
 {
   AttemptOutcome outcome = AttemptOutcome::Unknown;
   AttemptCause cause = AttemptCause::None;
-  bool otherOwner = false; ///< The address is now used by a different endpoint.
-  RelayReply reply;        ///< Set for Whole and Failure; has no body for an event stream.
-  std::string reason;      ///< For logs.
+  bool addressReassigned = false; ///< The address is now used by a different endpoint.
+  RelayReply reply;               ///< Set for Whole and Failure; has no body for an event stream.
+  std::string reason;             ///< For logs.
 };
 
 } // namespace lagoonward
--- a/Lagoonward/Relay/ExchangeCaller.h
+++ b/Lagoonward/Relay/HttpRelayCaller.h
@@ -20,20 +20,20 @@
 };
 
 /// RelayCaller for an HTTP connection: writes the response to its HttpExchange. Used on the traffic loop.
-class ExchangeCaller final : public RelayCaller
+class HttpRelayCaller final : public RelayCaller
 {
 public:
   using ErrorWriter = std::function<RelayReply(const Error&)>;
 
-  ExchangeCaller(HttpExchangePtr aExchange, ErrorWriter aWriteError);
+  HttpRelayCaller(HttpExchangePtr aExchange, ErrorWriter aWriteError);
 
-  void Answer(RelayReply aReply) override;
-  void Refuse(const Error& aError) override;
+  void SendResponse(RelayReply aReply) override;
+  void SendError(const Error& aError) override;
   void BeginStream(const RelayReply& aHead) override;
   void WriteEvent(std::string_view aBytes) override;
   void EndStream() override;
   void AbortStream() override;
-  [[nodiscard]] bool IsGone() override;
+  [[nodiscard]] bool IsDisconnected() override;
 
 private:
   HttpExchangePtr exchange;
--- a/Lagoonward/Relay/RelayAttempt.cpp
+++ b/Lagoonward/Relay/RelayAttempt.cpp
@@ -19,7 +19,7 @@
 } // namespace
 
 RelayAttempt::RelayAttempt(TrafficLoop& aLoop, const RelaySettings& aSettings,
-                           const EndpointLanguage& aDialect, const RelayCall& aCall,
+                           const AnyEndpointDialect& aDialect, const RelayCall& aCall,
                            AttemptListener& aListener)
   : loop(aLoop)
   , settings(aSettings)
@@ -39,7 +39,7 @@
 }
 
 void
-RelayAttempt::Start(std::string_view aAddress, const SendTerms& aTerms,
+RelayAttempt::Start(std::string_view aAddress, const SendOptions& aTerms,
                     std::function<bool()> aMayBeSent)
 {
   HttpTransferRequest request;
@@ -51,7 +51,7 @@
   request.singleSend = true;
   request.mayBeSent = std::move(aMayBeSent);
   // RelayRun cancels the attempt at its deadline; this later timeout only ends attempts that it failed to cancel
-  request.timeout = aTerms.left + this->settings.attemptTimeoutMargin;
+  request.timeout = aTerms.remainingTime + this->settings.attemptTimeoutMargin;
   this->transfer = this->loop.StartTransfer(request, *this);
 }
 
@@ -81,8 +81,8 @@
   this->headRead = true;
   this->head = this->dialect.readHead(this->call, aStatus, this->headers);
   // Another server may use the address now; its limits must not be applied to the target endpoint
-  const bool isFromTarget = (this->head.belongs && this->head.genuine) || this->head.notRun;
-  if (isFromTarget && !this->head.otherOwner) {
+  const bool isFromTarget = (this->head.matchesRequest && this->head.isMarked) || this->head.notRun;
+  if (isFromTarget && !this->head.addressReassigned) {
     this->listener.OnHead(this->head);
   }
 }
@@ -90,8 +90,8 @@
 bool
 RelayAttempt::IsGenuineSuccess() const
 {
-  return this->head.belongs && this->head.genuine && !this->head.encoded && !this->head.notRun &&
-         IsSuccess(this->head.status);
+  return this->head.matchesRequest && this->head.isMarked && !this->head.bodyEncoded &&
+         !this->head.notRun && IsSuccess(this->head.status);
 }
 
 void
@@ -124,10 +124,10 @@
   this->listener.OnAttemptEnd(this->Classify(aEnd));
 }
 
-AttemptEnd
+AttemptResult
 RelayAttempt::Classify(const TransferEnd& aEnd)
 {
-  AttemptEnd end;
+  AttemptResult end;
   end.reason = aEnd.message;
   if (aEnd.outcome == TransferOutcome::NotSent) {
     end.outcome = AttemptOutcome::NotSent;
@@ -135,12 +135,12 @@
     return end;
   }
   if (aEnd.outcome != TransferOutcome::Complete) {
-    end.cause =
-      aEnd.outcome == TransferOutcome::Broken ? AttemptCause::ConnectionLost : AttemptCause::Silent;
+    end.cause = aEnd.outcome == TransferOutcome::Broken ? AttemptCause::ConnectionLost
+                                                        : AttemptCause::TimedOut;
     return end;
   }
   this->ReadHead(aEnd.status);
-  end.otherOwner = this->head.otherOwner || aEnd.status == kMisdirectedRequest;
+  end.addressReassigned = this->head.addressReassigned || aEnd.status == kMisdirectedRequest;
   end.reason = fmt::format("status {}", aEnd.status);
   if (this->head.notRun || aEnd.status == kMisdirectedRequest) {
     end.outcome = AttemptOutcome::NotRun;
@@ -148,20 +148,20 @@
     return end;
   }
   end.cause = AttemptCause::InvalidResponse;
-  if (!this->head.belongs || this->head.encoded || this->invalidBody) {
-    end.reason += this->head.belongs ? ", body encoded, malformed or too large"
-                                     : ", response to a different request";
+  if (!this->head.matchesRequest || this->head.bodyEncoded || this->invalidBody) {
+    end.reason += this->head.matchesRequest ? ", body encoded, malformed or too large"
+                                            : ", response to a different request";
     return end;
   }
   const bool isTruncated = this->head.streamsEvents && this->events.HasPartialEvent();
   if (IsSuccess(aEnd.status)) {
-    end.reason += this->head.genuine ? "" : ", not marked as the endpoint's own response";
+    end.reason += this->head.isMarked ? "" : ", not marked as the endpoint's own response";
     end.reason += isTruncated ? ", stream ended within an event" : "";
-    if (this->head.genuine && !isTruncated) {
-      end.outcome = AttemptOutcome::Whole;
+    if (this->head.isMarked && !isTruncated) {
+      end.outcome = AttemptOutcome::Success;
       end.cause = AttemptCause::None;
     }
-  } else if (this->head.genuine) {
+  } else if (this->head.isMarked) {
     end.outcome = AttemptOutcome::Failure;
     end.cause = AttemptCause::Failed;
   }
--- a/Lagoonward/Relay/RelayAttempt.h
+++ b/Lagoonward/Relay/RelayAttempt.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "Lagoonward/Relay/AttemptEnd.h"
+#include "Lagoonward/Relay/AttemptResult.h"
 #include "Lagoonward/Relay/EventSplitter.h"
 #include "Lagoonward/Relay/RelayCall.h"
 #include "Lagoonward/Relay/RelaySettings.h"
@@ -29,7 +29,7 @@
   virtual void OnStreamEvent(std::string_view aBytes, std::string_view aId) = 0;
 
   /// The attempt has finished and may be destroyed.
-  virtual void OnAttemptEnd(const AttemptEnd& aEnd) = 0;
+  virtual void OnAttemptEnd(const AttemptResult& aEnd) = 0;
 };
 
 /// Sends a relayed request to one endpoint once and classifies the response. Only a complete response to this
@@ -38,15 +38,17 @@
 {
 public:
   /// All references must outlive the attempt.
-  RelayAttempt(TrafficLoop& aLoop, const RelaySettings& aSettings, const EndpointLanguage& aDialect,
-               const RelayCall& aCall, AttemptListener& aListener);
+  RelayAttempt(TrafficLoop& aLoop, const RelaySettings& aSettings,
+               const AnyEndpointDialect& aDialect, const RelayCall& aCall,
+               AttemptListener& aListener);
   ~RelayAttempt() override;
   RelayAttempt(const RelayAttempt&) = delete;
   RelayAttempt& operator=(const RelayAttempt&) = delete;
 
   /// Sends the request to the address `IP:PORT`.
   /// @param aMayBeSent  see HttpTransferRequest
-  void Start(std::string_view aAddress, const SendTerms& aTerms, std::function<bool()> aMayBeSent);
+  void Start(std::string_view aAddress, const SendOptions& aTerms,
+             std::function<bool()> aMayBeSent);
 
 private:
   void OnHeaderLine(std::string_view aLine) override;
@@ -56,11 +58,11 @@
   /// Parses the response head. Called when the body begins or the transfer ends; later calls do nothing.
   void ReadHead(int aStatus);
   [[nodiscard]] bool IsGenuineSuccess() const;
-  [[nodiscard]] AttemptEnd Classify(const TransferEnd& aEnd);
+  [[nodiscard]] AttemptResult Classify(const TransferEnd& aEnd);
 
   TrafficLoop& loop;
   const RelaySettings& settings;
-  const EndpointLanguage& dialect;
+  const AnyEndpointDialect& dialect;
   const RelayCall& call;
   AttemptListener& listener;
   TransferId transfer = 0;
--- a/Lagoonward/Relay/RelayCall.h
+++ b/Lagoonward/Relay/RelayCall.h
@@ -38,11 +38,11 @@
 
   double limitTokens = 0; ///< Tokens that the request consumes of its account's limit.
   int promptTokens = 0;
-  int outputTokens = 0; ///< Expected output tokens; zero for a plain service.
-  int eventTokens = 1;  ///< Tokens per event of the stream.
+  int outputTokens = 0;   ///< Expected output tokens; zero for a plain service.
+  int tokensPerEvent = 1; ///< Tokens per event of the stream.
   std::vector<PromptPart> promptParts;
   std::string lastEventId; ///< Last event that the caller of a stream already has; empty for none.
-  std::uint64_t print = 0; ///< See ComputeFingerprint().
+  std::uint64_t fingerprint = 0; ///< See ComputeFingerprint().
 
   /// When the response must be complete: the route's timeout or the deadline, whichever is earlier.
   [[nodiscard]] TimePoint EffectiveDeadline() const;
@@ -54,29 +54,29 @@
 ComputeFingerprint(const RelayCall& aCall);
 
 /// Metadata that is sent to an endpoint together with a request.
-struct SendTerms
+struct SendOptions
 {
   /// Intended endpoint; any other one at that address must refuse the request.
   std::string_view endpointId;
-  Milliseconds left{ 0 }; ///< Time until the response is no longer useful.
-  int priority = 0;       ///< Higher values are served first; see EnginePriority().
+  Milliseconds remainingTime{ 0 }; ///< Time until the response is no longer useful.
+  int priority = 0;                ///< Higher values are served first; see EnginePriority().
   /// The stream continues after this event; empty to start at the beginning.
   std::string_view lastEventId;
   /// Handle of the copied state from which the endpoint continues the same run; empty for none.
-  std::string_view copy;
+  std::string_view stateHandle;
   /// Address of an endpoint that has more of the prompt cached; empty for none.
   std::string_view fetchFrom;
 };
 
 /// HTTP call that makes an endpoint stop a run and copy the state of the run to another endpoint.
-struct MoveOrder
+struct MoveRequest
 {
   std::string path;
   std::string body;
 };
 
 /// Result of moving the state of a running stream to another endpoint.
-struct MoveEnd
+struct MoveResult
 {
   bool moved = false; ///< The state is at the destination and the run has stopped at the source.
   std::string handle; ///< Handle of the copied state; empty if the source gave none.
@@ -84,7 +84,7 @@
 };
 
 /// Rate limit that an endpoint advertises in a response. It applies to the requests of all daemons together.
-struct LimitStatement
+struct AdvertisedLimit
 {
   enum class Kind
   {
@@ -101,30 +101,30 @@
 struct EndpointHead
 {
   int status = 0;
-  bool belongs = false;    ///< The response belongs to the request that was sent.
-  bool genuine = false;    ///< Has the mark that endpoints set on their own responses.
-  bool notRun = false;     ///< The response proves that the request did not run.
-  bool otherOwner = false; ///< The address is now used by a different endpoint.
-  bool encoded = false;    ///< The body was encoded on the way, so it is not the original one.
+  bool matchesRequest = false;    ///< The response belongs to the request that was sent.
+  bool isMarked = false;          ///< Has the mark that endpoints set on their own responses.
+  bool notRun = false;            ///< The response proves that the request did not run.
+  bool addressReassigned = false; ///< The address is now used by a different endpoint.
+  bool bodyEncoded = false; ///< The body was encoded on the way, so it is not the original one.
   bool streamsEvents = false;
-  LimitStatement limit;            ///< Limit on the requests of all daemons together.
+  AdvertisedLimit limit;           ///< Limit on the requests of all daemons together.
   std::vector<HttpHeader> headers; ///< The headers to pass to the caller.
 };
 
 /// Type-erased EndpointDialect.
-struct EndpointLanguage
+struct AnyEndpointDialect
 {
-  std::function<std::vector<std::string>(const RelayCall&, const SendTerms&)> writeHeaders;
+  std::function<std::vector<std::string>(const RelayCall&, const SendOptions&)> writeHeaders;
   std::function<EndpointHead(const RelayCall&, int, std::span<const HttpHeader>)> readHead;
-  std::function<MoveOrder(const RelayCall&, std::string_view aDestination)> writeMove;
-  std::function<MoveEnd(int aStatus, const std::string& aBody)> readMove;
+  std::function<MoveRequest(const RelayCall&, std::string_view aDestination)> writeMove;
+  std::function<MoveResult(int aStatus, const std::string& aBody)> readMove;
 };
 
 /// Protocol between this daemon and endpoints: the header lines of a request, the parsing of a response head, and the
 /// call that moves a run with its reply.
 template<typename Dialect>
 concept EndpointDialect = requires(const Dialect& aDialect, const RelayCall& aCall,
-                                   const SendTerms& aTerms, std::span<const HttpHeader> aHeaders)
+                                   const SendOptions& aTerms, std::span<const HttpHeader> aHeaders)
 {
   {
     aDialect.WriteHeaders(aCall, aTerms)
@@ -134,18 +134,18 @@
     } -> std::same_as<EndpointHead>;
   {
     aDialect.WriteMove(aCall, std::string_view())
-    } -> std::same_as<MoveOrder>;
+    } -> std::same_as<MoveRequest>;
   {
     aDialect.ReadMove(0, std::string())
-    } -> std::same_as<MoveEnd>;
+    } -> std::same_as<MoveResult>;
 };
 
 /// Type-erases a dialect for code that is compiled once for all dialects.
 template<EndpointDialect Dialect>
-[[nodiscard]] EndpointLanguage
-LanguageOf(Dialect aDialect)
+[[nodiscard]] AnyEndpointDialect
+MakeAnyEndpointDialect(Dialect aDialect)
 {
-  return { [aDialect](const RelayCall& aCall, const SendTerms& aTerms) {
+  return { [aDialect](const RelayCall& aCall, const SendOptions& aTerms) {
             return aDialect.WriteHeaders(aCall, aTerms);
           },
            [aDialect](const RelayCall& aCall, int aStatus, std::span<const HttpHeader> aHeaders) {
--- a/Lagoonward/Relay/RelayConfiguration.h
+++ b/Lagoonward/Relay/RelayConfiguration.h
@@ -23,7 +23,7 @@
 };
 
 /// Configuration of one service.
-struct RelayServiceFacts
+struct RelayServiceConfiguration
 {
   std::string name;
   int maximumConnections = 0; ///< Limit per endpoint over all daemons; zero means no limit.
@@ -33,7 +33,7 @@
   bool movesStreams = false;
   /// Time to copy one cached prompt token from another endpoint; zero if not supported.
   double fetchSecondsPerToken = 0;
-  int eventTokens = 1;                   ///< Tokens per event of a stream.
+  int tokensPerEvent = 1;                ///< Tokens per event of a stream.
   std::optional<ServiceScaling> scaling; ///< Empty if endpoints cannot be started on demand.
 };
 
@@ -41,7 +41,7 @@
 struct RelayConfiguration
 {
   RelayRoutesPtr routes;
-  std::vector<RelayServiceFacts> services;
+  std::vector<RelayServiceConfiguration> services;
   /// Accounts and priorities, for the admission and routing code that other requests use as well.
   Manifest manifest;
 };
--- a/Lagoonward/Relay/RelayMove.cpp
+++ b/Lagoonward/Relay/RelayMove.cpp
@@ -10,7 +10,7 @@
 
 } // namespace
 
-RelayMove::RelayMove(TrafficLoop& aLoop, const EndpointLanguage& aDialect, DoneCallback aOnDone)
+RelayMove::RelayMove(TrafficLoop& aLoop, const AnyEndpointDialect& aDialect, DoneCallback aOnDone)
   : loop(aLoop)
   , dialect(aDialect)
   , onDone(std::move(aOnDone))
@@ -28,7 +28,7 @@
 RelayMove::Start(const RelayCall& aCall, std::string_view aSource, std::string_view aDestination,
                  Milliseconds aTimeout)
 {
-  const MoveOrder request = this->dialect.writeMove(aCall, aDestination);
+  const MoveRequest request = this->dialect.writeMove(aCall, aDestination);
   HttpTransferRequest transferRequest;
   transferRequest.method = "POST";
   transferRequest.url = fmt::format("http://{}{}", aSource, request.path);
@@ -51,7 +51,7 @@
 RelayMove::OnEnd(const TransferEnd& aEnd)
 {
   this->transfer = 0;
-  MoveEnd end;
+  MoveResult end;
   if (aEnd.outcome == TransferOutcome::Complete) {
     end = this->dialect.readMove(aEnd.status, this->body);
   } else {
--- a/Lagoonward/Relay/RelayMove.h
+++ b/Lagoonward/Relay/RelayMove.h
@@ -14,11 +14,11 @@
 class RelayMove final : private HttpTransferObserver
 {
 public:
-  using DoneCallback = std::function<void(const MoveEnd& aEnd)>;
+  using DoneCallback = std::function<void(const MoveResult& aEnd)>;
 
   /// The references must outlive this object.
   /// @param aOnDone  called once unless this object is destroyed first; may destroy this object
-  RelayMove(TrafficLoop& aLoop, const EndpointLanguage& aDialect, DoneCallback aOnDone);
+  RelayMove(TrafficLoop& aLoop, const AnyEndpointDialect& aDialect, DoneCallback aOnDone);
   ~RelayMove() override;
   RelayMove(const RelayMove&) = delete;
   RelayMove& operator=(const RelayMove&) = delete;
@@ -33,7 +33,7 @@
   void OnEnd(const TransferEnd& aEnd) override;
 
   TrafficLoop& loop;
-  const EndpointLanguage& dialect;
+  const AnyEndpointDialect& dialect;
   DoneCallback onDone;
   TransferId transfer = 0;
   std::string body;
--- a/Lagoonward/Relay/RelayObserver.h
+++ b/Lagoonward/Relay/RelayObserver.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "Lagoonward/Core/Error.h"
-#include "Lagoonward/Relay/AttemptEnd.h"
+#include "Lagoonward/Relay/AttemptResult.h"
 #include "Lagoonward/Relay/RelayCall.h"
 #include "Lagoonward/Routing/EngineWork.h"
 
@@ -11,14 +11,14 @@
 namespace lagoonward {
 
 /// Result of a relayed request.
-struct RelayEnd
+struct RelayResult
 {
   /// HTTP status sent to the caller; zero if the caller had disconnected or the stream was aborted.
   int status = 0;
-  bool whole = false;   ///< The caller got a complete success response.
-  int sends = 0;        ///< Attempts that may have reached an endpoint.
-  std::string reason;   ///< Why the request did not succeed; empty on success.
-  std::string endpoint; ///< Id of the last endpoint used; empty for none.
+  bool succeeded = false; ///< The caller got a complete success response.
+  int sends = 0;          ///< Attempts that may have reached an endpoint.
+  std::string reason;     ///< Why the request did not succeed; empty on success.
+  std::string endpoint;   ///< Id of the last endpoint used; empty for none.
 };
 
 /// Description of a failed attempt.
@@ -27,7 +27,7 @@
   std::string_view endpoint;
   AttemptCause cause = AttemptCause::None;
   std::string_view reason; ///< For logs.
-  bool goesOn = false;     ///< The request will be retried.
+  bool willRetry = false;  ///< The request will be retried.
 };
 
 /// Receives the events of relayed requests for logs, metrics, metering and demand. Called on the traffic loop.
@@ -41,13 +41,13 @@
   virtual void OnSent(const RelayCall& aCall, std::string_view aEndpoint, int aSend,
                       const EngineWork& aWork) = 0;
   /// An endpoint has begun to respond for the first time, so the request is running.
-  virtual void OnBegan(const RelayCall& aCall) = 0;
+  virtual void OnStarted(const RelayCall& aCall) = 0;
   virtual void OnAttemptFailed(const RelayCall& aCall, const FailedAttempt& aFailed) = 0;
   /// A stream was moved from a leaving endpoint, or the move failed.
   /// @param aReason  why the move failed
   virtual void OnMoved(const RelayCall& aCall, std::string_view aFrom, std::string_view aTo,
                        bool aMoved, std::string_view aReason) = 0;
-  virtual void OnEnded(const RelayCall& aCall, const RelayEnd& aEnd) = 0;
+  virtual void OnEnded(const RelayCall& aCall, const RelayResult& aEnd) = 0;
 };
 
 } // namespace lagoonward
--- a/Lagoonward/Relay/RelayRoutes.cpp
+++ b/Lagoonward/Relay/RelayRoutes.cpp
@@ -7,7 +7,7 @@
 namespace lagoonward {
 
 const std::string&
-RelayRoute::ServiceFor(std::uint64_t aRandom) const
+RelayRoute::SelectService(std::uint64_t aRandom) const
 {
   assert(!this->services.empty());
   double totalWeight = 0;
--- a/Lagoonward/Relay/RelayRoutes.h
+++ b/Lagoonward/Relay/RelayRoutes.h
@@ -42,8 +42,8 @@
   int priority = 0;          ///< Higher values are served first.
   Milliseconds timeout{ 0 }; ///< From arrival to the complete response; zero means no timeout.
   /// Latency target for the response, or for the first event of a stream.
-  Milliseconds firstEvent{ 0 };
-  Milliseconds betweenEvents{ 0 }; ///< Target for the interval between events of a stream.
+  Milliseconds firstEventTarget{ 0 };
+  Milliseconds eventIntervalTarget{ 0 }; ///< Target for the interval between events of a stream.
   std::vector<WeightedService> services;
 
   /// Whether a request may be sent to another endpoint after it may already have run.
@@ -55,7 +55,7 @@
 
   /// Selects the service for a request by weight. The same random number gives the same service.
   /// @param aRandom  uniformly distributed over the range of its type
-  [[nodiscard]] const std::string& ServiceFor(std::uint64_t aRandom) const;
+  [[nodiscard]] const std::string& SelectService(std::uint64_t aRandom) const;
 };
 
 using RelayRoutePtr = std::shared_ptr<const RelayRoute>;
@@ -67,7 +67,8 @@
   /// Overrides the priority of the route; higher values are served first.
   std::optional<int> priority;
   bool countsTokens = true; ///< The limit is in tokens; otherwise in requests.
-  double plainTokens = 1;   ///< Tokens of the limit that a request without token counts consumes.
+  double tokensPerPlainRequest =
+    1; ///< Tokens of the limit that a request without token counts consumes.
 };
 
 /// All routes and keys of one configuration version. Filled at creation and immutable once shared.
--- a/Lagoonward/Relay/RelayRun.cpp
+++ b/Lagoonward/Relay/RelayRun.cpp
@@ -23,7 +23,7 @@
   , caller(std::move(aCaller))
   , onEnded(std::move(aOnEnded))
   , promptBlocks(PromptBlocks(this->call.promptParts, aContext.settings.blockTokens))
-  , crashTracker(this->call.print, aContext.poisonFilter, aContext.crashProbe, aContext.fleet,
+  , crashTracker(this->call.fingerprint, aContext.poisonFilter, aContext.crashProbe, aContext.fleet,
                  aContext.loop.GetClock())
   , lastEventId(this->call.lastEventId)
 {
@@ -68,11 +68,11 @@
   Milliseconds silenceTimeout{ 0 };
   if (route.kind != RelayKind::Stream) {
     silenceTimeout =
-      std::max(Times(route.firstEvent, settings.silenceFactor), settings.minimumSilence);
+      std::max(Scale(route.firstEventTarget, settings.silenceFactor), settings.minimumSilence);
   } else if (aStreamStarted) {
-    silenceTimeout = Times(route.betweenEvents, settings.eventGapSilenceFactor);
+    silenceTimeout = Scale(route.eventIntervalTarget, settings.eventGapSilenceFactor);
   } else {
-    silenceTimeout = Times(route.firstEvent, settings.firstEventSilenceFactor);
+    silenceTimeout = Scale(route.firstEventTarget, settings.firstEventSilenceFactor);
   }
   if (silenceTimeout > Milliseconds::zero()) {
     this->silenceTimer =
@@ -85,13 +85,13 @@
 {
   this->silenceTimer.reset();
   if (this->ended || this->attempt == nullptr || this->move != nullptr ||
-      !this->context.retryBudget.TryTake()) {
+      !this->context.retryBudget.TryConsume()) {
     return;
   }
   this->mayHaveRun = true;
   this->lastReason = "the endpoint sent no data within the silence timeout";
   this->context.observer.OnAttemptFailed(
-    this->call, { this->endpointId, AttemptCause::Silent, this->lastReason, true });
+    this->call, { this->endpointId, AttemptCause::TimedOut, this->lastReason, true });
   this->failedEndpoints.push_back(this->endpointId);
   this->CancelAttempt(DispatchOutcome::Failed);
   this->Dispatch();
@@ -115,7 +115,7 @@
 RelayRun::RecordStarted()
 {
   if (!std::exchange(this->started, true)) {
-    this->context.observer.OnBegan(this->call);
+    this->context.observer.OnStarted(this->call);
   }
 }
 
@@ -123,14 +123,14 @@
 RelayRun::OnHead(const EndpointHead& aHead)
 {
   switch (aHead.limit.kind) {
-    case LimitStatement::Kind::Limited:
-      this->context.endpointLimits.OnNamed(this->endpointId, aHead.limit.perSecond);
+    case AdvertisedLimit::Kind::Limited:
+      this->context.endpointLimits.OnLimitAdvertised(this->endpointId, aHead.limit.perSecond);
       break;
-    case LimitStatement::Kind::None:
-      this->context.endpointLimits.OnNoneNamed(this->endpointId);
+    case AdvertisedLimit::Kind::None:
+      this->context.endpointLimits.OnNoLimitAdvertised(this->endpointId);
       break;
-    case LimitStatement::Kind::Malformed:
-      this->context.endpointLimits.OnMalformed(this->endpointId);
+    case AdvertisedLimit::Kind::Malformed:
+      this->context.endpointLimits.OnMalformedLimit(this->endpointId);
       break;
   }
 }
@@ -162,25 +162,25 @@
     this->lastEventId = aId;
   }
   ++this->forwardedEvents;
-  this->context.router.OnEvent(this->dispatch, this->call.eventTokens);
+  this->context.router.OnEvent(this->dispatch, this->call.tokensPerEvent);
   this->caller->WriteEvent(aBytes);
 }
 
 void
-RelayRun::OnAttemptEnd(const AttemptEnd& aEnd)
+RelayRun::OnAttemptEnd(const AttemptResult& aEnd)
 {
   const std::unique_ptr<RelayAttempt> finished = std::move(this->attempt);
-  if (this->move != nullptr && aEnd.outcome != AttemptOutcome::Whole) {
+  if (this->move != nullptr && aEnd.outcome != AttemptOutcome::Success) {
     // The source stops the run before the copy is complete; OnMoveFinished() decides
     this->endDuringMove = aEnd;
     return;
   }
   this->move.reset();
-  if (aEnd.outcome == AttemptOutcome::Whole) {
+  if (aEnd.outcome == AttemptOutcome::Success) {
     this->RecordFirstByte();
     this->RecordStarted();
     this->context.router.OnFinished(this->dispatch, DispatchOutcome::Completed);
-    this->crashTracker.OnWhole();
+    this->crashTracker.OnRequestCompleted();
     this->Succeed(aEnd.reply);
     return;
   }
@@ -188,10 +188,10 @@
 }
 
 void
-RelayRun::OnAttemptFailed(const AttemptEnd& aEnd)
+RelayRun::OnAttemptFailed(const AttemptResult& aEnd)
 {
   // A refusal of an overloaded endpoint does not count as a failure of the endpoint
-  const bool isRefusal = aEnd.outcome == AttemptOutcome::NotRun && !aEnd.otherOwner;
+  const bool isRefusal = aEnd.outcome == AttemptOutcome::NotRun && !aEnd.addressReassigned;
   this->context.router.OnFinished(this->dispatch,
                                   isRefusal ? DispatchOutcome::Cancelled : DispatchOutcome::Failed);
   const bool isProvenNotRun =
@@ -211,7 +211,7 @@
   const bool isAllowed =
     hasAttempts && !isClientError && (!this->mayHaveRun || this->call.route->IsRepeatable());
   const bool isBudgetExempt = aEnd.outcome == AttemptOutcome::NotSent;
-  const bool willRetry = isAllowed && (isBudgetExempt || this->context.retryBudget.TryTake());
+  const bool willRetry = isAllowed && (isBudgetExempt || this->context.retryBudget.TryConsume());
   this->context.observer.OnAttemptFailed(this->call,
                                          { this->endpointId, aEnd.cause, aEnd.reason, willRetry });
   if (willRetry) {
@@ -249,7 +249,7 @@
 {
   // The connection may never report an error, as a restarted endpoint does not respond to requests that its former
   // process received
-  AttemptEnd end;
+  AttemptResult end;
   end.cause = AttemptCause::Restarted;
   this->crashTracker.OnRestarted();
   end.reason = "the endpoint restarted before its response was complete";
@@ -274,7 +274,7 @@
 void
 RelayRun::CheckCaller()
 {
-  if (this->ended || !this->caller->IsGone()) {
+  if (this->ended || !this->caller->IsDisconnected()) {
     return;
   }
   this->move.reset();
@@ -306,7 +306,7 @@
   if (this->streaming) {
     this->caller->EndStream();
   } else {
-    this->caller->Answer(std::move(aReply));
+    this->caller->SendResponse(std::move(aReply));
   }
   this->End({ status, isSuccess, this->sends, isSuccess ? std::string() : this->lastReason,
               this->endpointId });
@@ -318,14 +318,14 @@
   if (this->streaming) {
     this->caller->AbortStream();
   } else {
-    this->caller->Refuse(aError);
+    this->caller->SendError(aError);
   }
   const int status = this->streaming ? 0 : GetErrorRule(aError.kind).httpStatus;
   this->End({ status, false, this->sends, aError.message, this->endpointId });
 }
 
 void
-RelayRun::End(const RelayEnd& aEnd)
+RelayRun::End(const RelayResult& aEnd)
 {
   assert(!this->ended);
   this->ended = true;
--- a/Lagoonward/Relay/RelayRun.h
+++ b/Lagoonward/Relay/RelayRun.h
@@ -1,10 +1,10 @@
 #pragma once
 
 #include "Lagoonward/Admission/EndpointLimits.h"
-#include "Lagoonward/Admission/PermitLender.h"
-#include "Lagoonward/Admission/PoisonGuard.h"
+#include "Lagoonward/Admission/PermitSource.h"
+#include "Lagoonward/Admission/PoisonRequestFilter.h"
 #include "Lagoonward/Admission/RetryBudget.h"
-#include "Lagoonward/Attempts/CrashWitness.h"
+#include "Lagoonward/Attempts/RunCrashTracker.h"
 #include "Lagoonward/Core/Error.h"
 #include "Lagoonward/Fleet/FleetStore.h"
 #include "Lagoonward/Relay/RelayAttempt.h"
@@ -27,10 +27,10 @@
   virtual ~RelayCaller() = default;
 
   /// Sends a complete response.
-  virtual void Answer(RelayReply aReply) = 0;
+  virtual void SendResponse(RelayReply aReply) = 0;
 
   /// Responds with an error of this daemon.
-  virtual void Refuse(const Error& aError) = 0;
+  virtual void SendError(const Error& aError) = 0;
 
   /// Begins an event stream, appends to it, ends it, or aborts it so that the caller sees a truncated stream.
   virtual void BeginStream(const RelayReply& aHead) = 0;
@@ -39,7 +39,7 @@
   virtual void AbortStream() = 0;
 
   /// Whether the caller no longer waits for the response. True only if that is certain.
-  [[nodiscard]] virtual bool IsGone() = 0;
+  [[nodiscard]] virtual bool IsDisconnected() = 0;
 };
 
 /// Dependencies of a run. All of them must outlive the run.
@@ -48,13 +48,13 @@
   TrafficLoop& loop;
   Router& router;
   RetryBudget& retryBudget;
-  PoisonGuard& poisonFilter;
-  CrashCheck& crashProbe;
+  PoisonRequestFilter& poisonFilter;
+  CrashProbe& crashProbe;
   EndpointLimits& endpointLimits;
-  PermitLender* permitSource; ///< Never null.
+  PermitSource* permitSource; ///< Never null.
   const FleetStore& fleet;
   const RelaySettings& settings;
-  const EndpointLanguage& dialect;
+  const AnyEndpointDialect& dialect;
   RelayObserver& observer;
 };
 
@@ -91,7 +91,7 @@
   void OnHead(const EndpointHead& aHead) override;
   void OnStreamHead(const RelayReply& aHead) override;
   void OnStreamEvent(std::string_view aBytes, std::string_view aId) override;
-  void OnAttemptEnd(const AttemptEnd& aEnd) override;
+  void OnAttemptEnd(const AttemptResult& aEnd) override;
 
   void Dispatch();
   [[nodiscard]] RouteRequest MakeRouteRequest() const;
@@ -112,13 +112,13 @@
   [[nodiscard]] int FreshTokens() const;
   [[nodiscard]] bool IsWorthMoving() const;
   void BeginMove(const Endpoint& aSource);
-  void OnMoveFinished(const MoveEnd& aEnd);
+  void OnMoveFinished(const MoveResult& aEnd);
   void WaitForEndpoint(const Error& aError);
   /// Retries after a failed attempt. After a lost connection it first waits for the check whether the endpoint has
   /// crashed.
   void ContinueAfterFailure(AttemptCause aCause);
   /// Retries or ends the request after an attempt without a complete success response.
-  void OnAttemptFailed(const AttemptEnd& aEnd);
+  void OnAttemptFailed(const AttemptResult& aEnd);
   [[nodiscard]] bool CanRunAgain() const;
   void ArmSilenceTimer(bool aStreamStarted);
   void OnSilenceTimeout();
@@ -130,18 +130,18 @@
 
   void Succeed(RelayReply aReply);
   void Fail(const Error& aError);
-  void End(const RelayEnd& aEnd);
+  void End(const RelayResult& aEnd);
 
   RelayContext context;
   RelayCall call;
   std::unique_ptr<RelayCaller> caller;
   std::function<void()> onEnded;
   std::vector<std::uint64_t> promptBlocks; ///< Block hashes of the prompt; see PromptBlocks().
-  CrashWitness crashTracker;
+  RunCrashTracker crashTracker;
 
   std::unique_ptr<RelayAttempt> attempt; ///< Null between attempts.
   std::string endpointId;
-  /// Start time that identifies its process; see Endpoint::born.
+  /// Start time that identifies its process; see Endpoint::incarnation.
   std::int64_t endpointIncarnation = 0;
   lagoonward::Dispatch dispatch;            ///< The router's record of the attempt.
   std::vector<std::string> failedEndpoints; ///< Endpoints that failed this request.
@@ -161,7 +161,7 @@
   std::string lastMoveSource;                 ///< Last endpoint from which a move was tried.
   std::string copiedState; ///< Handle of the state from which the next attempt continues.
   /// Result of the attempt at the source if it ended during the move.
-  std::optional<AttemptEnd> endDuringMove;
+  std::optional<AttemptResult> endDuringMove;
   /// Expires with the run; guards callbacks that may arrive later.
   std::shared_ptr<bool> aliveToken = std::make_shared<bool>(true);
   std::optional<TrafficLoop::TimerId> deadlineTimer;
--- a/Lagoonward/Relay/RelayRunMoving.cpp
+++ b/Lagoonward/Relay/RelayRunMoving.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <utility>
 
-// Part of RelayRun: moves the stream off a leaving endpoint.
+// ReadCallback of RelayRun: moves the stream off a leaving endpoint.
 
 namespace lagoonward {
 
@@ -18,7 +18,7 @@
   }
   const double expected = std::max(this->call.outputTokens, 1);
   const double completedFraction =
-    static_cast<double>(this->forwardedEvents) * this->call.eventTokens / expected;
+    static_cast<double>(this->forwardedEvents) * this->call.tokensPerEvent / expected;
   return this->streaming && completedFraction < this->context.settings.finishInPlaceRatio;
 }
 
@@ -29,7 +29,7 @@
     return;
   }
   const Endpoint* endpoint = aFleet.Find(this->endpointId);
-  if (endpoint != nullptr && endpoint->born > this->endpointIncarnation) {
+  if (endpoint != nullptr && endpoint->incarnation > this->endpointIncarnation) {
     this->OnEndpointRestarted();
     return;
   }
@@ -45,7 +45,7 @@
 RelayRun::BeginMove(const Endpoint& aSource)
 {
   // Endpoints that advertise a limit are excluded, as they would need a permit first
-  const std::vector<std::string> limited = this->context.endpointLimits.Limited();
+  const std::vector<std::string> limited = this->context.endpointLimits.LimitedEndpoints();
   std::vector<std::string_view> avoided(limited.begin(), limited.end());
   avoided.push_back(this->endpointId);
   RouteRequest request = this->MakeRouteRequest();
@@ -60,14 +60,14 @@
   this->moveDestination = std::move(choice.value());
   this->move =
     std::make_unique<RelayMove>(this->context.loop, this->context.dialect,
-                                [this](const MoveEnd& aEnd) { this->OnMoveFinished(aEnd); });
+                                [this](const MoveResult& aEnd) { this->OnMoveFinished(aEnd); });
   this->move->Start(this->call, fmt::format("{}:{}", aSource.address, aSource.port),
                     fmt::format("{}:{}", target->address, target->port),
                     this->context.settings.moveTimeout);
 }
 
 void
-RelayRun::OnMoveFinished(const MoveEnd& aEnd)
+RelayRun::OnMoveFinished(const MoveResult& aEnd)
 {
   const std::unique_ptr<RelayMove> finished = std::move(this->move);
   const std::string target = this->moveDestination->Target().id;
--- a/Lagoonward/Relay/RelayRunSending.cpp
+++ b/Lagoonward/Relay/RelayRunSending.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <utility>
 
-// Part of RelayRun: selects an endpoint and sends the request to it.
+// ReadCallback of RelayRun: selects an endpoint and sends the request to it.
 
 namespace lagoonward {
 
@@ -14,7 +14,7 @@
 {
   RouteRequest request;
   request.service = this->call.service;
-  request.firstToken = this->call.route->firstEvent;
+  request.firstToken = this->call.route->firstEventTarget;
   request.priority = this->call.priority;
   request.isPlainCall = this->call.promptTokens <= 0;
   request.promptTokens = this->call.promptTokens;
@@ -32,7 +32,7 @@
     return;
   }
   if (this->crashTracker.IsPoisoned()) {
-    this->Fail(CrashWitness::PoisonError(this->mayHaveRun ? Ran::Unknown : Ran::No));
+    this->Fail(RunCrashTracker::PoisonError(this->mayHaveRun ? Ran::Unknown : Ran::No));
     return;
   }
   auto choice = this->Choose();
@@ -40,7 +40,8 @@
     this->WaitForEndpoint(choice.error());
     return;
   }
-  if (const auto permit = this->context.endpointLimits.WantedPermit(choice.value().Target().id)) {
+  if (const auto permit =
+        this->context.endpointLimits.MakePermitRequest(choice.value().Target().id)) {
     this->RequestPermit(std::move(choice.value()), *permit);
     return;
   }
@@ -50,7 +51,7 @@
 std::vector<std::string>
 RelayRun::BlockedEndpoints() const
 {
-  std::vector<std::string> blocked = this->context.endpointLimits.Blocked();
+  std::vector<std::string> blocked = this->context.endpointLimits.BlockedEndpoints();
   if (!blocked.empty()) {
     const FleetSnapshotPtr fleet = this->context.fleet.Get();
     std::erase_if(blocked, [&](const std::string& aEach) {
@@ -90,7 +91,7 @@
       }
     });
   };
-  this->context.permitSource->Ask(aPermit, onReply);
+  this->context.permitSource->RequestPermit(aPermit, onReply);
 }
 
 void
@@ -100,7 +101,7 @@
     this->BeginAttempt(aChoice, this->MakeRouteRequest());
     return;
   }
-  this->context.endpointLimits.OnNoPermit(aChoice.Target().id, aReply);
+  this->context.endpointLimits.OnPermitDenied(aChoice.Target().id, aReply);
   this->Dispatch();
 }
 
@@ -129,7 +130,7 @@
   // Wait through short gaps without an endpoint, as between two releases, instead of refusing
   const TimePoint now = this->context.loop.GetClock().Now();
   const Milliseconds waitLimit =
-    Times(this->call.route->firstEvent, this->context.settings.endpointWaitFactor);
+    Scale(this->call.route->firstEventTarget, this->context.settings.endpointWaitFactor);
   // Endpoints that stay blocked beyond the wait limit cannot be used in time
   const auto blocked = this->context.endpointLimits.UntilNextUnblocked(this->BlockedEndpoints());
   const Milliseconds retryInterval = this->context.settings.endpointRetryInterval;
@@ -159,7 +160,7 @@
   }
   ++this->sends;
   this->endpointId = endpoint->id;
-  this->endpointIncarnation = endpoint->born;
+  this->endpointIncarnation = endpoint->incarnation;
   this->dispatch = this->context.router.OnDispatched(aChoice, aRequest);
   // Demand counts each caller request once: resends after many refused connections must not raise it
   const bool isReported = std::exchange(this->demandReported, true);
@@ -168,22 +169,22 @@
 
   const TimePoint now = this->context.loop.GetClock().Now();
   this->crashTracker.OnSent(*endpoint);
-  SendTerms terms;
+  SendOptions terms;
   terms.endpointId = this->endpointId;
-  terms.left = std::chrono::floor<Milliseconds>(this->call.EffectiveDeadline() - now);
+  terms.remainingTime = std::chrono::floor<Milliseconds>(this->call.EffectiveDeadline() - now);
   terms.priority = aChoice.priority;
   terms.lastEventId = this->lastEventId;
   const std::string prefixSource = this->PrefixSourceAddress(aChoice, *fleet);
   terms.fetchFrom = prefixSource;
   const std::string stateHandle = std::exchange(this->copiedState, {});
-  terms.copy = stateHandle;
+  terms.stateHandle = stateHandle;
   AttemptListener& listener = *this;
   this->attempt = std::make_unique<RelayAttempt>(this->context.loop, this->context.settings,
                                                  this->context.dialect, this->call, listener);
   // Opening a connection on a busy host can take a second, so the state is checked again right before the first byte
   const auto mayBeSent = [&current = this->context.fleet,
                           &poisonFilter = this->context.poisonFilter, id = this->endpointId,
-                          fingerprint = this->call.print] {
+                          fingerprint = this->call.fingerprint] {
     const FleetSnapshotPtr newest = current.Get();
     const Endpoint* target = newest->Find(id);
     return target != nullptr && target->state == EndpointState::Live &&
--- a/Lagoonward/Relay/RelayService.cpp
+++ b/Lagoonward/Relay/RelayService.cpp
@@ -2,7 +2,7 @@
 
 namespace lagoonward {
 
-RelayService::RelayService(const RelaySettings& aSettings, EndpointLanguage aDialect,
+RelayService::RelayService(const RelaySettings& aSettings, AnyEndpointDialect aDialect,
                            Market& aMarket, const FleetStore& aFleet, RelayObserver& aObserver,
                            const Clock& aClock)
   : settings(aSettings)
@@ -48,7 +48,7 @@
 void
 RelayService::Submit(RelayCall aCall, std::unique_ptr<RelayCaller> aCaller)
 {
-  aCall.print = ComputeFingerprint(aCall);
+  aCall.fingerprint = ComputeFingerprint(aCall);
   const auto request =
     std::make_shared<PendingRequest>(PendingRequest{ std::move(aCall), std::move(aCaller) });
   this->loop.Post([this, request] { this->AcquireTokens(request); });
@@ -62,8 +62,8 @@
   };
   if (this->tokenSource != nullptr && !aRequest->call.account.empty()) {
     const AdmissionRequest request = this->MakeAdmissionRequest(aRequest->call);
-    if (const auto wanted = this->market.admission.WantedLoan(request)) {
-      this->tokenSource->Borrow(*wanted, [this, start] { this->loop.Post(start); });
+    if (const auto wanted = this->market.admission.MakeTokenRequest(request)) {
+      this->tokenSource->RequestTokens(*wanted, [this, start] { this->loop.Post(start); });
       return;
     }
   }
@@ -89,7 +89,7 @@
     auto ticket = this->market.admission.Admit(this->MakeAdmissionRequest(aCall));
     if (!ticket) {
       this->observer.OnAccepted(aCall);
-      aCaller->Refuse(ticket.error());
+      aCaller->SendError(ticket.error());
       const int status = GetErrorRule(ticket.error().kind).httpStatus;
       this->observer.OnEnded(aCall, { status, false, 0, ticket.error().message, {} });
       return;
@@ -114,7 +114,7 @@
   RouteRequest request;
   request.service = aCall.service;
   // Free slots of an endpoint that advertises a limit are not capacity, as the limit may prevent their use
-  const std::vector<std::string> limited = this->market.endpointLimits.Limited();
+  const std::vector<std::string> limited = this->market.endpointLimits.LimitedEndpoints();
   const std::vector<std::string_view> excluded(limited.begin(), limited.end());
   request.excludedEndpoints = excluded;
   this->market.admission.SetPressure(this->market.router.Pressure(request));
--- a/Lagoonward/Relay/RelayService.h
+++ b/Lagoonward/Relay/RelayService.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "Lagoonward/Admission/LimitLender.h"
-#include "Lagoonward/Admission/PermitLender.h"
+#include "Lagoonward/Admission/LimitTokenSource.h"
+#include "Lagoonward/Admission/PermitSource.h"
 #include "Lagoonward/Attempts/Market.h"
 #include "Lagoonward/Core/Service.h"
 #include "Lagoonward/Relay/RelayRun.h"
@@ -20,7 +20,7 @@
   static constexpr std::string_view kName = "relay";
 
   /// The references must outlive the service.
-  RelayService(const RelaySettings& aSettings, EndpointLanguage aDialect, Market& aMarket,
+  RelayService(const RelaySettings& aSettings, AnyEndpointDialect aDialect, Market& aMarket,
                const FleetStore& aFleet, RelayObserver& aObserver, const Clock& aClock);
   ~RelayService() override;
 
@@ -30,11 +30,11 @@
 
   /// Sets the source of limit tokens that this daemon does not hold locally. To be called before Start(); must outlive
   /// the service.
-  void SetLender(LimitLender& aTokenSource) { this->tokenSource = &aTokenSource; }
+  void SetTokenSource(LimitTokenSource& aTokenSource) { this->tokenSource = &aTokenSource; }
 
   /// Sets the source of permits for endpoints that advertise a limit; without it this daemon grants all of them
   /// itself. To be called before Start(); must outlive the service.
-  void SetPermits(PermitLender& aPermitSource) { this->context.permitSource = &aPermitSource; }
+  void SetPermitSource(PermitSource& aPermitSource) { this->context.permitSource = &aPermitSource; }
 
   /// Runs a request or refuses it. If tokens of the client's limit are missing locally, the decision waits for the
   /// reply of the token source. Safe from any thread.
@@ -73,13 +73,13 @@
   void UpdatePressure(const RelayCall& aCall);
 
   RelaySettings settings;
-  EndpointLanguage dialect;
+  AnyEndpointDialect dialect;
   Market& market;
   RelayObserver& observer;
-  LimitLender* tokenSource = nullptr;
+  LimitTokenSource* tokenSource = nullptr;
   TrafficLoop loop;
-  CrashCheck crashProbe;
-  LocalPermits localPermits;
+  CrashProbe crashProbe;
+  LocalPermitSource localPermits;
   RelayContext context;
   std::unordered_map<std::uint64_t, ActiveRun> runs; ///< Accessed on the loop only.
   std::uint64_t nextRunId = 1;
--- a/Lagoonward/Routing/InFlightBook.cpp
+++ b/Lagoonward/Routing/InFlightTable.cpp
@@ -1,15 +1,15 @@
-#include "Lagoonward/Routing/InFlightBook.h"
+#include "Lagoonward/Routing/InFlightTable.h"
 
 namespace lagoonward {
 
-InFlightBook::InFlightBook(Milliseconds aRetention, const Clock& aClock)
+InFlightTable::InFlightTable(Milliseconds aRetention, const Clock& aClock)
   : retention(aRetention)
   , clock(aClock)
 {
 }
 
 void
-InFlightBook::OnCounts(std::uint64_t aRun, InFlightCounts aCounts)
+InFlightTable::OnCounts(std::uint64_t aRun, InFlightCounts aCounts)
 {
   RunCounts& run = this->runs[aRun];
   this->Add(run.counts, -1);
@@ -18,7 +18,7 @@
 }
 
 void
-InFlightBook::Add(const InFlightCounts& aCounts, int aSign)
+InFlightTable::Add(const InFlightCounts& aCounts, int aSign)
 {
   for (const auto& [endpoint, count] : aCounts) {
     const auto sum = this->sums.try_emplace(endpoint, 0).first;
@@ -30,7 +30,7 @@
 }
 
 void
-InFlightBook::ExpireSilentRuns()
+InFlightTable::ExpireSilentRuns()
 {
   const TimePoint now = this->clock.Now();
   for (auto run = this->runs.begin(); run != this->runs.end();) {
@@ -44,7 +44,7 @@
 }
 
 InFlightCounts
-InFlightBook::SumOfOthers(std::uint64_t aRun)
+InFlightTable::SumOfOthers(std::uint64_t aRun)
 {
   this->ExpireSilentRuns();
   const auto own = this->runs.find(aRun);
@@ -52,14 +52,14 @@
 }
 
 InFlightCounts
-InFlightBook::Sum()
+InFlightTable::Sum()
 {
   this->ExpireSilentRuns();
   return this->SumExcluding({});
 }
 
 InFlightCounts
-InFlightBook::SumExcluding(const InFlightCounts& aCounts) const
+InFlightTable::SumExcluding(const InFlightCounts& aCounts) const
 {
   std::map<std::uint64_t, std::int32_t> excluded;
   for (const auto& [endpoint, count] : aCounts) {
--- a/Lagoonward/Routing/InFlightBook.h
+++ b/Lagoonward/Routing/InFlightTable.h
@@ -15,11 +15,11 @@
 /// Table of the requests that daemons have in flight at endpoints, as of each daemon's last report. The sums are
 /// updated with each report, so that a query takes time proportional to the number of endpoints, regardless of how many
 /// daemons report. Not thread-safe.
-class InFlightBook
+class InFlightTable
 {
 public:
   /// @param aRetention  counts of a daemon expire when it has not reported for longer than this
-  InFlightBook(Milliseconds aRetention, const Clock& aClock);
+  InFlightTable(Milliseconds aRetention, const Clock& aClock);
 
   /// Replaces the counts of a daemon with those of its latest report.
   /// @param aRun  identifies the daemon process: the daemon and its current run
--- a/Lagoonward/Routing/MovePolicy.cpp
+++ b/Lagoonward/Routing/MovePolicy.cpp
@@ -4,25 +4,25 @@
 
 namespace lagoonward {
 
-HostExitPlan
+StreamMovePlan
 PlanMove(const MoveState& aState, const MoveSettings& aSettings)
 {
   const double usable = aState.secondsLeft - aSettings.marginSeconds;
-  if (aState.tokensLeft * aState.stepSeconds * aSettings.safety <= usable) {
+  if (aState.tokensLeft * aState.stepSeconds * aSettings.durationMargin <= usable) {
     return {};
   }
-  HostExitPlan plan;
+  StreamMovePlan plan;
   const double own =
     aSettings.transferSetupSeconds + aState.contextTokens / aSettings.transferTokensPerSecond;
-  const double later = aState.laterTokens / aSettings.transferTokensPerSecond;
-  const double needed = (own + later) * aSettings.safety;
-  if (aState.canTransfer && own * aSettings.safety <= usable) {
-    plan.kind = HostExit::Transfer;
+  const double later = aState.laterTransferTokens / aSettings.transferTokensPerSecond;
+  const double needed = (own + later) * aSettings.durationMargin;
+  if (aState.canTransfer && own * aSettings.durationMargin <= usable) {
+    plan.kind = StreamMoveKind::Transfer;
     plan.startInSeconds = std::max(usable - needed, 0.0);
     plan.transferSeconds = own;
     return plan;
   }
-  plan.kind = HostExit::Resume;
+  plan.kind = StreamMoveKind::Resume;
   plan.startInSeconds = std::max(usable, 0.0);
   return plan;
 }
--- a/Lagoonward/Routing/MovePolicy.h
+++ b/Lagoonward/Routing/MovePolicy.h
@@ -5,7 +5,7 @@
 namespace lagoonward {
 
 /// Action for a stream on a host that has announced its termination.
-enum class HostExit
+enum class StreamMoveKind
 {
   FinishInPlace, ///< The stream ends before the host terminates.
   Transfer,      ///< Export the KV cache and import it at another endpoint; nothing is recomputed.
@@ -15,7 +15,7 @@
 /// Tunables of PlanMove().
 struct MoveSettings
 {
-  double safety = 1.3; ///< Factor on predicted times.
+  double durationMargin = 1.3; ///< Factor on predicted times.
   /// Time that must be left before termination when the move is complete.
   double marginSeconds = 1;
   double transferTokensPerSecond = 100000; ///< Rate at which one host can export KV cache.
@@ -29,14 +29,15 @@
   double tokensLeft = 0;    ///< Expected remaining output tokens.
   double stepSeconds = 0;   ///< Time between two tokens at the current endpoint.
   double contextTokens = 0; ///< Prompt and output tokens so far.
-  double laterTokens = 0;   ///< Context tokens of the streams to be transferred after this one.
+  double laterTransferTokens =
+    0;                      ///< Context tokens of the streams to be transferred after this one.
   bool canTransfer = false; ///< Whether the engine exports KV caches.
 };
 
 /// Action for one stream, and its start relative to now.
-struct HostExitPlan
+struct StreamMovePlan
 {
-  HostExit kind = HostExit::FinishInPlace;
+  StreamMoveKind kind = StreamMoveKind::FinishInPlace;
   double startInSeconds = 0;
   double transferSeconds = 0;
 };
@@ -45,7 +46,7 @@
 /// back from the host's termination. This also lets streams generate as long as is safe. A stream that cannot be
 /// transferred in the remaining time is resumed at another endpoint. Pure function; called again on every further
 /// notice.
-[[nodiscard]] HostExitPlan
+[[nodiscard]] StreamMovePlan
 PlanMove(const MoveState& aState, const MoveSettings& aSettings);
 
 } // namespace lagoonward
--- a/Lagoonward/Routing/RouteScore.cpp
+++ b/Lagoonward/Routing/RouteScore.cpp
@@ -33,7 +33,7 @@
 SequenceWaitSeconds(const EndpointEstimate& aEstimate, const RouteRequest& aRequest, int aRank,
                     const RoutingSettings& aSettings)
 {
-  const double reserved = aRank == 0 ? aSettings.reservedShare : 0;
+  const double reserved = aRank == 0 ? aSettings.reservedFraction : 0;
   const double usable = aEstimate.speed.sequences * (1 - reserved);
   const double excess = aEstimate.sequences + 1 - usable;
   if (excess <= 0 || aEstimate.mayPreempt) {
@@ -96,28 +96,28 @@
   const double firstTokenExcess = RelativeExcess(score.firstTokenSeconds, aRequest.firstToken);
   score.cost.miss =
     missCost * (firstTokenMiss + betweenTokensMiss - firstTokenMiss * betweenTokensMiss +
-                aSettings.lateness * firstTokenExcess);
+                aSettings.overdueWeight * firstTokenExcess);
 
   // Tokens to recompute if the host is reclaimed: the prompt and on average half of the output
   const double reclaimProbability =
     std::min(aEstimate.reclaimsPerSecond * score.finishSeconds, 1.0);
   const double recomputedTokenCost = aMeanPrice * speed.prefillSecondsPerToken *
-                                     aSettings.recomputedTokenWorth * 2 *
+                                     aSettings.recomputedTokenWeight * 2 *
                                      aRequest.objective.recomputedTokens;
   score.cost.reclaim =
     reclaimProbability * (aRequest.promptTokens + output / 2) * recomputedTokenCost;
   // The cost of one more copy of a prefix is divided among its expected uses
   score.cost.recompute = std::max(aEstimate.bestCachedTokens - reused, 0.0) * recomputedTokenCost /
-                         (1 + aEstimate.prefixUses / aSettings.hotUses);
+                         (1 + aEstimate.prefixUses / aSettings.hotPrefixUses);
   score.cost.prefill *= 2 * aRequest.objective.cost;
   score.cost.decode *= 2 * aRequest.objective.cost;
 
   // A prefix that no endpoint is known to have is routed to its home endpoint, where the other daemons look for it too
   const double uncachedEverywhere =
     std::max(aRequest.promptTokens - aEstimate.bestCachedTokens, 0.0);
-  score.cost.locality = -aEstimate.homeWeight * aSettings.homePull * uncachedEverywhere *
-                        recomputedTokenCost / std::max(aSettings.recomputedTokenWorth, 1.0);
-  score.cost.latency = aMeanPrice * aSettings.latencyWorth * score.finishSeconds;
+  score.cost.locality = -aEstimate.homeWeight * aSettings.homeAffinity * uncachedEverywhere *
+                        recomputedTokenCost / std::max(aSettings.recomputedTokenWeight, 1.0);
+  score.cost.latency = aMeanPrice * aSettings.latencyWeight * score.finishSeconds;
   score.cost.slowStart = aEstimate.slowStartFactor * aEstimate.sequences * aMeanPrice *
                          score.betweenTokensSeconds * output;
   return score;
--- a/Lagoonward/Routing/Router.cpp
+++ b/Lagoonward/Routing/Router.cpp
@@ -233,7 +233,7 @@
 Router::CollectCandidates(const DecisionContext& aContext, Candidates& aCandidates)
 {
   const auto& members = aContext.group->targets;
-  if (members.size() <= std::min(this->settings.fullScan, kMaxCandidates)) {
+  if (members.size() <= std::min(this->settings.fullScanLimit, kMaxCandidates)) {
     for (const std::uint32_t target : members) {
       aCandidates.Add(target);
     }
@@ -247,7 +247,7 @@
   for (std::size_t index = 0; index < aContext.homeCount; ++index) {
     aCandidates.Add(aContext.homes[index]);
   }
-  for (std::size_t index = 0; index < this->settings.sample; ++index) {
+  for (std::size_t index = 0; index < this->settings.sampleSize; ++index) {
     const std::size_t range = index % 2 == 0 ? members.size() : members.size() / 4;
     aCandidates.Add(members[this->NextRandom() % std::max(range, std::size_t{ 1 })]);
   }
@@ -357,7 +357,7 @@
   estimate.mayPreempt = this->settings.ranksPreempt && aContext.rank > 0;
   if (target.reclaimable) {
     const double perHour = this->table->IsLeaving(target.failureDomain)
-                             ? this->settings.goingDomainPerHour
+                             ? this->settings.leavingDomainReclaimsPerHour
                              : this->settings.reclaimsPerHour;
     estimate.reclaimsPerSecond = perHour / kSecondsPerHour;
   }
--- a/Lagoonward/Routing/Router.h
+++ b/Lagoonward/Routing/Router.h
@@ -28,7 +28,7 @@
 };
 
 /// Number of requests in flight at one endpoint.
-struct EndpointCount
+struct EndpointInFlightCount
 {
   std::uint64_t endpointKey = 0; ///< See RoutingTarget::key.
   int count = 0;
@@ -108,10 +108,10 @@
   [[nodiscard]] double Pressure(const RouteRequest& aRequest) const;
 
   /// Requests of this daemon in flight, for each endpoint with at least one.
-  [[nodiscard]] std::vector<EndpointCount> OwnInFlight() const;
+  [[nodiscard]] std::vector<EndpointInFlightCount> OwnInFlight() const;
 
   /// Sets the requests that the other daemons have in flight at endpoints; zero for endpoints not in aCounts.
-  void OnPeersInFlight(std::span<const EndpointCount> aCounts);
+  void OnPeersInFlight(std::span<const EndpointInFlightCount> aCounts);
 
   /// Endpoint seconds that aWork takes at a service's endpoints, each running as many requests concurrently as it can.
   /// Empty while their speed is unknown.
@@ -124,7 +124,7 @@
   [[nodiscard]] std::vector<SpeedReport> SpeedsInUse() const;
   /// Handles a report of another daemon, with its learned speeds or its speeds in use.
   /// @param aSource  identifies that daemon
-  void OnToldSpeeds(std::uint64_t aSource, std::span<const SpeedReport> aReports);
+  void OnPeerSpeeds(std::uint64_t aSource, std::span<const SpeedReport> aReports);
 
   /// Rank of a priority, see RoutingTable::RankOf(); zero before the first Update().
   [[nodiscard]] int RankOf(int aPriority) const;
--- a/Lagoonward/Routing/RouterLearning.cpp
+++ b/Lagoonward/Routing/RouterLearning.cpp
@@ -183,11 +183,11 @@
   return concurrency > 0 ? occupied / concurrency : 0;
 }
 
-std::vector<EndpointCount>
+std::vector<EndpointInFlightCount>
 Router::OwnInFlight() const
 {
   const std::lock_guard lock(this->mutex);
-  std::vector<EndpointCount> counts;
+  std::vector<EndpointInFlightCount> counts;
   for (const EndpointActivity& activity : this->activities) {
     if (activity.InFlight() > 0) {
       counts.push_back({ activity.Key(), activity.InFlight() });
@@ -197,13 +197,13 @@
 }
 
 void
-Router::OnPeersInFlight(std::span<const EndpointCount> aCounts)
+Router::OnPeersInFlight(std::span<const EndpointInFlightCount> aCounts)
 {
   const std::lock_guard lock(this->mutex);
   for (EndpointActivity& activity : this->activities) {
     activity.OnPeersInFlight(0);
   }
-  for (const EndpointCount& count : aCounts) {
+  for (const EndpointInFlightCount& count : aCounts) {
     if (EndpointActivity* activity = this->FindActivity(count.endpointKey)) {
       activity->OnPeersInFlight(count.count);
     }
@@ -253,7 +253,7 @@
 }
 
 void
-Router::OnToldSpeeds(std::uint64_t aSource, std::span<const SpeedReport> aReports)
+Router::OnPeerSpeeds(std::uint64_t aSource, std::span<const SpeedReport> aReports)
 {
   const std::lock_guard lock(this->mutex);
   for (const SpeedReport& report : aReports) {
--- a/Lagoonward/Routing/RoutingSettings.h
+++ b/Lagoonward/Routing/RoutingSettings.h
@@ -74,7 +74,7 @@
 
   /// Cost of each further target duration by which the first token is late, in missed targets. Without it, a request
   /// that misses its target at every endpoint could be sent to the longest queue.
-  double lateness = 1;
+  double overdueWeight = 1;
 
   /// Factor on the cost of a missed target for each higher rank of priority.
   double missRankFactor = 6;
@@ -88,7 +88,7 @@
 
   /// Cost of a second of predicted response time, in engine seconds, even if no target is missed. Zero packs requests
   /// on the cheapest endpoints; larger values prefer the endpoints with the earliest response.
-  double latencyWorth = 0;
+  double latencyWeight = 0;
 
   /// Whether a request above the lowest rank is assumed not to wait at an endpoint whose sequences are all in use.
   bool ranksPreempt = true;
@@ -102,10 +102,10 @@
 
   /// Later savings expected if a prefix that no endpoint has cached is sent to its home endpoint, as a multiple of the
   /// prompt's prefill cost.
-  double homePull = 4;
+  double homeAffinity = 4;
 
   /// Fraction of an engine's sequences not used for requests of the lowest rank.
-  double reservedShare = 0.35;
+  double reservedFraction = 0.35;
 
   /// Dispatches of this daemon per endpoint at which they get half the weight in the estimate of the other daemons'
   /// dispatches: the more of them a load report does not cover, the more the others are assumed to have dispatched
@@ -116,10 +116,10 @@
   double reclaimsPerHour = 0.05;
 
   /// The same in a failure domain that has leaving hosts.
-  double goingDomainPerHour = 120;
+  double leavingDomainReclaimsPerHour = 120;
 
   /// Cost of a recomputed token, as a multiple of its prefill time, at an objective weight of 0.5.
-  double recomputedTokenWorth = 40;
+  double recomputedTokenWeight = 40;
 
   /// Minimum number of cached tokens to fetch from another endpoint instead of prefilling them again.
   double minFetchedTokens = 1024;
@@ -128,16 +128,16 @@
   double maxFetchTimeRatio = 0.6;
 
   /// Recent uses of a prefix, over all daemons, at which the cost of one more copy is halved.
-  double hotUses = 6;
+  double hotPrefixUses = 6;
 
   /// Time over which a new endpoint's surcharge decreases to zero.
   Seconds slowStart{ 10 };
 
   /// Up to this number of endpoints, all are scored; above it, a sample.
-  std::size_t fullScan = 32;
+  std::size_t fullScanLimit = 32;
 
   /// Endpoints chosen at random for the sample, half of them from the cheapest quarter.
-  std::size_t sample = 8;
+  std::size_t sampleSize = 8;
 
   /// Minimum Retry-After of an error.
   Milliseconds retryAfterFloor{ 200 };
--- a/Lagoonward/Settings/RelaySettingsReader.cpp
+++ b/Lagoonward/Settings/RelaySettingsReader.cpp
@@ -167,7 +167,7 @@
     po::store(po::command_line_parser({ aArguments.begin(), aArguments.end() }).options(all).run(),
               values);
     if (values.count("help") > 0) {
-      outcome.helpAsked = true;
+      outcome.helpRequested = true;
       return outcome;
     }
     std::ostringstream variables;
--- a/Lagoonward/Settings/RelaySettingsReader.h
+++ b/Lagoonward/Settings/RelaySettingsReader.h
@@ -14,7 +14,7 @@
   RelayDaemonSettings settings;
   std::string file;                ///< Path of the settings file; empty if none was given.
   std::vector<std::string> faults; ///< One line per fault; empty when the settings are valid.
-  bool helpAsked = false;
+  bool helpRequested = false;
 };
 
 /// Reads the settings of `lagoonward relay` from flags, environment variables and a file of lines
--- a/Lagoonward/Settings/SettingsReader.cpp
+++ b/Lagoonward/Settings/SettingsReader.cpp
@@ -140,7 +140,7 @@
     { "reconnect-ms", "MS", "1000", false,
       "How long a new connection may stay silent before the endpoint is blamed.",
       [](S& aSettings, T aText) {
-        return ReadMilliseconds(aText, kHourMs, aSettings.runs.attempts.reconnectPatience);
+        return ReadMilliseconds(aText, kHourMs, aSettings.runs.attempts.reconnectTimeout);
       } },
     { "answer-lifetime-ms", "MS", "600000", false,
       "How long an answer can be asked for again under its idempotency key.",
@@ -188,7 +188,7 @@
   } catch (const po::error& error) {
     aOutcome.faults.push_back(error.what());
   }
-  aOutcome.helpAsked = found.count("help") != 0;
+  aOutcome.helpRequested = found.count("help") != 0;
   std::map<std::string, std::string> values;
   for (const SettingRule& rule : SettingsReader::Rules()) {
     if (found.count(rule.name) == 0) {
@@ -252,7 +252,7 @@
 {
   SettingsOutcome outcome;
   std::map<std::string, std::string> values = CollectFlags(aArguments, outcome);
-  if (outcome.helpAsked) {
+  if (outcome.helpRequested) {
     return outcome;
   }
   AddVariables(aEnvironment, values, outcome);
--- a/Lagoonward/Settings/SettingsReader.h
+++ b/Lagoonward/Settings/SettingsReader.h
@@ -30,7 +30,7 @@
 {
   DaemonSettings settings;
   std::vector<std::string> faults; ///< One line per fault; empty when the settings are valid.
-  bool helpAsked = false;
+  bool helpRequested = false;
 };
 
 /// Reads the settings of `lagoonward serve` from flags and environment variables. Flags override variables.
--- a/Lagoonward/Wire/HttpExchange.cpp
+++ b/Lagoonward/Wire/HttpExchange.cpp
@@ -120,7 +120,7 @@
 }
 
 bool
-HttpExchange::IsCallerGone()
+HttpExchange::IsCallerDisconnected()
 {
   const std::scoped_lock lock(this->mutex);
   if (this->state == State::Done) {
--- a/Lagoonward/Wire/HttpExchange.h
+++ b/Lagoonward/Wire/HttpExchange.h
@@ -65,7 +65,7 @@
 
   /// Polls the socket for whether the caller has closed it, or its sending half. Returns true only when certain.
   /// The server does not read from a connection whose response is pending, so it would not detect the close otherwise.
-  [[nodiscard]] bool IsCallerGone();
+  [[nodiscard]] bool IsCallerDisconnected();
 
 private:
   friend class HttpServer;
--- a/Lagoonward/Wire/HttpServer.cpp
+++ b/Lagoonward/Wire/HttpServer.cpp
@@ -304,7 +304,7 @@
 }
 
 void
-HttpServer::CloseAfterAnswers()
+HttpServer::CloseAfterResponses()
 {
   this->closingAfterResponses = true;
 }
--- a/Lagoonward/Wire/HttpServer.h
+++ b/Lagoonward/Wire/HttpServer.h
@@ -44,7 +44,7 @@
 
   /// Closes each connection after its next response, so that callers reconnect to another daemon. New connections
   /// are still accepted, because a load balancer takes some time to stop sending them.
-  void CloseAfterAnswers();
+  void CloseAfterResponses();
 
   /// Stops accepting connections. Open connections are still served and are closed after their next response.
   void StopListening();
--- a/UnitTests/Admission/AdmissionTests.cpp
+++ b/UnitTests/Admission/AdmissionTests.cpp
@@ -75,10 +75,10 @@
   std::vector<Ticket> tickets;
   for (int round = 0; round < 20; ++round) {
     for (std::size_t from = 0; from < kDaemons; ++from) {
-      const auto demand = daemons[from]->TakeDemand();
+      const auto demand = daemons[from]->CollectDemand();
       for (std::size_t to = 0; to < kDaemons; ++to) {
         if (to != from) {
-          daemons[to]->OnPeer(from, demand);
+          daemons[to]->OnPeerDemand(from, demand);
         }
       }
     }
@@ -111,7 +111,7 @@
       views[from].OnOwnDemandSent(demands[from]);
       for (std::size_t to = 0; to < 3; ++to) {
         if (to != from) {
-          views[to].OnPeer(from, demands[from]);
+          views[to].OnPeerDemand(from, demands[from]);
         }
       }
     }
@@ -165,14 +165,14 @@
   AdmissionSettings settings;
   settings.pooled = true;
   Admission admission(settings, clock, 1);
-  admission.SetDaemons(kDaemons);
+  admission.SetDaemonCount(kDaemons);
   Manifest manifest = MakeManifest(1000, 0);
   manifest.clients.front().burstTokens = 1000;
   admission.Configure(manifest);
   for (int round = 0; round < 40; ++round) {
     clock.Advance(Milliseconds(500));
-    static_cast<void>(admission.TakeDemand());
-    admission.OnOthers({ 1, kDaemons - 1, {} });
+    static_cast<void>(admission.CollectDemand());
+    admission.OnAggregatedDemand({ 1, kDaemons - 1, {} });
   }
   BOOST_TEST(admission.Admit({ "large", 0, 400 }).has_value());
 }
--- a/UnitTests/Admission/DemandSumTests.cpp
+++ b/UnitTests/Admission/DemandAggregatorTests.cpp
@@ -1,5 +1,5 @@
-#include "Lagoonward/Admission/DemandSum.h"
-#include "Lagoonward/Admission/PooledBucket.h"
+#include "Lagoonward/Admission/DemandAggregator.h"
+#include "Lagoonward/Admission/SharedTokenBucket.h"
 #include "Lagoonward/Core/VirtualClock.h"
 #include "UnitTests/Support/SharedLimit.h"
 
@@ -29,14 +29,14 @@
   Fleet(std::size_t aDaemons, std::size_t aPerGroup)
     : perGroup(aPerGroup)
     , limit(aDaemons, kLimit, clock.Now())
-    , members((aDaemons + aPerGroup - 1) / aPerGroup, DemandSum({}, clock))
-    , groups(this->members.size(), DemandSum({}, clock))
+    , members((aDaemons + aPerGroup - 1) / aPerGroup, DemandAggregator({}, clock))
+    , groups(this->members.size(), DemandAggregator({}, clock))
   {
-    for (PooledBucket& bucket : this->limit.buckets) {
+    for (SharedTokenBucket& bucket : this->limit.buckets) {
       bucket.OnSendInterval(static_cast<int>(aDaemons), this->clock.Now());
     }
     this->connectedGroups = this->members.size();
-    this->limit.reaches = [this](std::size_t aFrom, std::size_t aTo) {
+    this->limit.canReach = [this](std::size_t aFrom, std::size_t aTo) {
       const std::size_t from = aFrom / this->perGroup;
       const std::size_t to = aTo / this->perGroup;
       return from == to || std::max(from, to) < this->connectedGroups;
@@ -52,32 +52,32 @@
     this->clock.Advance(kInterval);
     this->connectedGroups = aConnectedGroups;
     const TimePoint now = this->clock.Now();
-    std::vector<PooledBucket>& buckets = this->limit.buckets;
+    std::vector<SharedTokenBucket>& buckets = this->limit.buckets;
     for (std::size_t index = 0; index < buckets.size(); ++index) {
       buckets[index].OnSendInterval(static_cast<int>(buckets.size()), now);
       const std::array<ClientDemand, 1> report{ ClientDemand{ kClient, 0, 0,
                                                               buckets[index].AdmittedTotal() } };
-      this->members[index / this->perGroup].OnTold(index, 1, 1, report);
+      this->members[index / this->perGroup].OnReport(index, 1, 1, report);
     }
     for (std::size_t from = 0; from < aConnectedGroups; ++from) {
-      const DemandOfOthers sum = this->members[from].Sum();
+      const AggregatedDemand sum = this->members[from].Sum();
       for (std::size_t to = 0; to < aConnectedGroups; ++to) {
         if (to != from) {
-          this->groups[to].OnTold(from, 1, sum.daemons, sum.demand);
+          this->groups[to].OnReport(from, 1, sum.daemons, sum.demand);
         }
       }
     }
     for (std::size_t index = 0; index < buckets.size(); ++index) {
       const std::size_t group = index / this->perGroup;
-      const DemandOfOthers groupSum = this->members[group].SumOfOthers(index);
-      const DemandOfOthers otherGroupsSum = this->groups[group].Sum();
+      const AggregatedDemand groupSum = this->members[group].SumOfOthers(index);
+      const AggregatedDemand otherGroupsSum = this->groups[group].Sum();
       const double total = Total(groupSum) + Total(otherGroupsSum);
-      buckets[index].OnPeer(0, total, now, groupSum.daemons + otherGroupsSum.daemons,
-                            groupSum.series);
+      buckets[index].OnPeerTotal(0, total, now, groupSum.daemons + otherGroupsSum.daemons,
+                                 groupSum.series);
     }
   }
 
-  static double Total(const DemandOfOthers& aSum)
+  static double Total(const AggregatedDemand& aSum)
   {
     return aSum.demand.empty() ? 0 : aSum.demand.front().admittedTotal;
   }
@@ -97,7 +97,8 @@
     double admitted = 0;
     for (double requested = 0; requested < aTokens; requested += aPerRequest) {
       const std::size_t daemon = this->nextDaemon++ % this->limit.buckets.size();
-      admitted += this->limit.Take(daemon, aPerRequest, this->clock.Now()) == 0 ? aPerRequest : 0;
+      admitted +=
+        this->limit.TryConsume(daemon, aPerRequest, this->clock.Now()) == 0 ? aPerRequest : 0;
     }
     return admitted;
   }
@@ -107,9 +108,9 @@
   SharedLimit limit;
   std::size_t connectedGroups =
     0; ///< Number of groups that reach each other, starting with the first.
-  std::vector<DemandSum> members; ///< By group.
-  std::size_t nextDaemon = 0;     ///< Daemon that receives the next request.
-  std::vector<DemandSum> groups;  ///< Reports that each group received from the others.
+  std::vector<DemandAggregator> members; ///< By group.
+  std::size_t nextDaemon = 0;            ///< Daemon that receives the next request.
+  std::vector<DemandAggregator> groups;  ///< Reports that each group received from the others.
 };
 
 /// Tokens per second requested by a client far above its limit.
@@ -129,16 +130,16 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(DemandSumTests)
+BOOST_AUTO_TEST_SUITE(DemandAggregatorTests)
 
 BOOST_AUTO_TEST_CASE(SumOfOthersExcludesTheSourceItself)
 {
   VirtualClock clock;
-  DemandSum sum({}, clock);
-  sum.OnTold(1, 1, 1, std::array{ ClientDemand{ kClient, 10, 2, 100 } });
-  sum.OnTold(2, 1, 3, std::array{ ClientDemand{ kClient, 30, 4, 900 } });
-  sum.OnTold(2, 1, 3, std::array{ ClientDemand{ kClient, 20, 1, 950 } });
-  const DemandOfOthers others = sum.SumOfOthers(1);
+  DemandAggregator sum({}, clock);
+  sum.OnReport(1, 1, 1, std::array{ ClientDemand{ kClient, 10, 2, 100 } });
+  sum.OnReport(2, 1, 3, std::array{ ClientDemand{ kClient, 30, 4, 900 } });
+  sum.OnReport(2, 1, 3, std::array{ ClientDemand{ kClient, 20, 1, 950 } });
+  const AggregatedDemand others = sum.SumOfOthers(1);
   BOOST_TEST(others.daemons == 3);
   BOOST_TEST(others.demand.front().tokensPerSecond == 20);
   BOOST_TEST(others.demand.front().running == 1);
@@ -150,18 +151,18 @@
 BOOST_AUTO_TEST_CASE(AdmittedTotalNeverDecreasesWhenASourceRestartsOrIsRemoved)
 {
   VirtualClock clock;
-  DemandSum sum({}, clock);
-  sum.OnTold(1, 1, 1, std::array{ ClientDemand{ kClient, 10, 2, 100 } });
-  sum.OnTold(2, 1, 1, std::array{ ClientDemand{ kClient, 10, 2, 0 } });
-  sum.OnTold(2, 1, 1, std::array{ ClientDemand{ kClient, 10, 2, 500 } });
+  DemandAggregator sum({}, clock);
+  sum.OnReport(1, 1, 1, std::array{ ClientDemand{ kClient, 10, 2, 100 } });
+  sum.OnReport(2, 1, 1, std::array{ ClientDemand{ kClient, 10, 2, 0 } });
+  sum.OnReport(2, 1, 1, std::array{ ClientDemand{ kClient, 10, 2, 500 } });
   // The source restarts and counts from zero
-  sum.OnTold(2, 2, 1, std::array{ ClientDemand{ kClient, 10, 2, 0 } });
+  sum.OnReport(2, 2, 1, std::array{ ClientDemand{ kClient, 10, 2, 0 } });
   BOOST_TEST(sum.SumOfOthers(1).demand.front().admittedTotal == 500);
-  sum.OnTold(2, 2, 1, std::array{ ClientDemand{ kClient, 10, 2, 30 } });
+  sum.OnReport(2, 2, 1, std::array{ ClientDemand{ kClient, 10, 2, 30 } });
   BOOST_TEST(sum.SumOfOthers(1).demand.front().admittedTotal == 530);
   clock.Advance(Seconds(30));
-  sum.Forget();
-  const DemandOfOthers rest = sum.SumOfOthers(1);
+  sum.RemoveStaleSources();
+  const AggregatedDemand rest = sum.SumOfOthers(1);
   BOOST_TEST(rest.demand.front().admittedTotal == 530);
   BOOST_TEST(rest.demand.front().running == 0);
   BOOST_TEST(rest.daemons == 0);
@@ -170,24 +171,24 @@
 BOOST_AUTO_TEST_CASE(SourceAddedAgainGetsANewSeries)
 {
   VirtualClock clock;
-  DemandSum sum({}, clock);
-  sum.OnTold(1, 1, 1, std::array{ ClientDemand{ kClient, 0, 0, 100 } });
+  DemandAggregator sum({}, clock);
+  sum.OnReport(1, 1, 1, std::array{ ClientDemand{ kClient, 0, 0, 100 } });
   const std::uint64_t before = sum.SumOfOthers(1).series;
   clock.Advance(Seconds(30));
-  sum.Forget();
-  sum.OnTold(1, 1, 1, std::array{ ClientDemand{ kClient, 0, 0, 100 } });
+  sum.RemoveStaleSources();
+  sum.OnReport(1, 1, 1, std::array{ ClientDemand{ kClient, 0, 0, 100 } });
   BOOST_TEST(sum.SumOfOthers(1).series != before);
 }
 
 BOOST_AUTO_TEST_CASE(ClientsBeyondTheMaximumAreIgnored)
 {
   VirtualClock clock;
-  DemandSumSettings settings;
+  DemandAggregatorSettings settings;
   settings.maximumClients = 2;
-  DemandSum sum(settings, clock);
-  sum.OnTold(1, 1, 1,
-             std::array{ ClientDemand{ 1, 0, 0, 0 }, ClientDemand{ 2, 0, 0, 0 },
-                         ClientDemand{ 3, 0, 0, 0 } });
+  DemandAggregator sum(settings, clock);
+  sum.OnReport(1, 1, 1,
+               std::array{ ClientDemand{ 1, 0, 0, 0 }, ClientDemand{ 2, 0, 0, 0 },
+                           ClientDemand{ 3, 0, 0, 0 } });
   BOOST_TEST(sum.Sum().demand.size() == 2U);
 }
 
--- a/UnitTests/Admission/PermitBookTests.cpp
+++ b/UnitTests/Admission/PermitLedgerTests.cpp
@@ -1,4 +1,4 @@
-#include "Lagoonward/Admission/PermitBook.h"
+#include "Lagoonward/Admission/PermitLedger.h"
 #include "Lagoonward/Core/VirtualClock.h"
 
 #include <boost/test/data/monomorphic.hpp>
@@ -37,7 +37,7 @@
     , nextRequestAt(static_cast<std::size_t>(aDaemons), this->clock.Now())
   {
     for (int index = 0; index < aDaemons; ++index) {
-      this->ledgers.push_back(std::make_unique<PermitBook>(PermitSettings{}, this->clock));
+      this->ledgers.push_back(std::make_unique<PermitLedger>(PermitSettings{}, this->clock));
     }
   }
 
@@ -66,7 +66,7 @@
   int backup = 1;
   int previousPrimary = -1;           ///< Still the primary in the lists of half of the daemons.
   bool isPrimaryUnresponsive = false; ///< The primary does not reply.
-  bool isSettled = true;              ///< Passed to PermitBook::Serve().
+  bool isStable = true;               ///< Passed to PermitLedger::Serve().
   double highestLoad = 0;             ///< Requests in any window, relative to AllowedInWindow().
 
 private:
@@ -86,13 +86,14 @@
     if (reply.answer != PermitAnswer::Granted) {
       const PermitReply backupReply = this->RequestPermit(this->backup, ReserveRole::Backup);
       const bool isBackupReplyUsed =
-        backupReply.answer == PermitAnswer::Granted || reply.answer == PermitAnswer::NotKeeper;
+        backupReply.answer == PermitAnswer::Granted || reply.answer == PermitAnswer::NotOwner;
       reply = isBackupReplyUsed ? backupReply : reply;
     }
     if (reply.answer == PermitAnswer::Granted) {
       this->RecordSend();
     } else {
-      this->nextRequestAt[index] = this->clock.Now() + Milliseconds(std::max(reply.wait, 1U));
+      this->nextRequestAt[index] =
+        this->clock.Now() + Milliseconds(std::max(reply.retryAfterMs, 1U));
     }
   }
 
@@ -101,7 +102,7 @@
     PermitRequest request;
     request.endpoint = kEndpoint;
     request.perSecond = this->perSecond;
-    return this->ledgers[static_cast<std::size_t>(aOwner)]->Serve(request, aRole, this->isSettled);
+    return this->ledgers[static_cast<std::size_t>(aOwner)]->Serve(request, aRole, this->isStable);
   }
 
   void RecordSend()
@@ -117,13 +118,13 @@
   int daemons;
   double perSecond;
   std::vector<TimePoint> nextRequestAt;
-  std::vector<std::unique_ptr<PermitBook>> ledgers;
+  std::vector<std::unique_ptr<PermitLedger>> ledgers;
   std::deque<TimePoint> sent;
 };
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(PermitBookTests)
+BOOST_AUTO_TEST_SUITE(PermitLedgerTests)
 
 /// Every daemon has more requests for one endpoint than its limit allows. The requests sent must stay within the stated
 /// bound for any number of daemons, and must use the limit.
@@ -148,7 +149,7 @@
 {
   Fleet fleet(daemons, perSecond);
   fleet.Run(Seconds(10));
-  fleet.isSettled = false;
+  fleet.isStable = false;
   fleet.previousPrimary = fleet.primary;
   fleet.primary = 2;
   fleet.Run(Seconds(4));
@@ -184,7 +185,7 @@
 BOOST_AUTO_TEST_CASE(NewestAnswerDeterminesTheLimit)
 {
   VirtualClock clock;
-  PermitBook ledger({}, clock);
+  PermitLedger ledger({}, clock);
   clock.Advance(Seconds(100));
   const auto serve = [&](PermitRequest aRequest) {
     aRequest.endpoint = kEndpoint;
@@ -192,7 +193,7 @@
   };
   BOOST_TEST((serve({ .perSecond = 1, .age = 100 }) == PermitAnswer::Granted));
   // Another daemon has received a newer answer without a limit
-  static_cast<void>(serve({ .isLimited = false, .age = 50, .wants = false }));
+  static_cast<void>(serve({ .isLimited = false, .age = 50, .wantsPermit = false }));
   BOOST_TEST((serve({ .perSecond = 1, .age = 2000 }) == PermitAnswer::Unlimited));
   // A still newer answer has a limit again
   BOOST_TEST((serve({ .perSecond = 1, .age = 0 }) == PermitAnswer::Granted));
@@ -202,20 +203,20 @@
 BOOST_AUTO_TEST_CASE(RequestsToANonOwnerAndImplausibleRequestsAreRejected)
 {
   VirtualClock clock;
-  PermitBook ledger({}, clock);
+  PermitLedger ledger({}, clock);
   PermitRequest request;
   request.endpoint = kEndpoint;
   request.perSecond = 1;
-  BOOST_TEST((ledger.Serve(request, ReserveRole::None, true).answer == PermitAnswer::NotKeeper));
+  BOOST_TEST((ledger.Serve(request, ReserveRole::None, true).answer == PermitAnswer::NotOwner));
   for (const double perSecond : { -1.0, std::numeric_limits<double>::infinity(),
                                   std::numeric_limits<double>::quiet_NaN() }) {
     request.perSecond = perSecond;
     BOOST_TEST(
-      (ledger.Serve(request, ReserveRole::Primary, true).answer == PermitAnswer::NotKeeper));
+      (ledger.Serve(request, ReserveRole::Primary, true).answer == PermitAnswer::NotOwner));
   }
   request.perSecond = 1;
   request.age = -1;
-  BOOST_TEST((ledger.Serve(request, ReserveRole::Primary, true).answer == PermitAnswer::NotKeeper));
+  BOOST_TEST((ledger.Serve(request, ReserveRole::Primary, true).answer == PermitAnswer::NotOwner));
   // An old limit still applies; otherwise no permit would be granted again
   request.age = std::numeric_limits<std::int64_t>::max();
   BOOST_TEST((ledger.Serve(request, ReserveRole::Primary, true).answer == PermitAnswer::Granted));
--- a/UnitTests/Admission/PoisonGuardTests.cpp
+++ b/UnitTests/Admission/PoisonRequestFilterTests.cpp
@@ -1,4 +1,4 @@
-#include "Lagoonward/Admission/PoisonGuard.h"
+#include "Lagoonward/Admission/PoisonRequestFilter.h"
 #include "Lagoonward/Core/VirtualClock.h"
 
 #include <boost/test/data/monomorphic.hpp>
@@ -22,11 +22,11 @@
   void Crash(std::uint64_t aEndpoint, std::uint64_t aDomain,
              Milliseconds aSentBefore = Milliseconds(50))
   {
-    this->guard.OnCrash({ kRequest, aEndpoint, aDomain, 0, aSentBefore.count() });
+    this->filter.OnCrash({ kRequest, aEndpoint, aDomain, 0, aSentBefore.count() });
   }
 
   VirtualClock clock;
-  PoisonGuard guard{ {}, clock };
+  PoisonRequestFilter filter{ {}, clock };
 };
 
 /// Daemons whose verdicts are sent at an interval and may be lost.
@@ -40,13 +40,14 @@
     , random(aSeed)
   {
     for (int index = 0; index < aDaemons; ++index) {
-      this->guards.push_back(std::make_unique<PoisonGuard>(PoisonSettings{}, this->clock));
+      this->filters.push_back(
+        std::make_unique<PoisonRequestFilter>(PoisonFilterSettings{}, this->clock));
     }
     // Two daemons own the request's key
-    for (auto& guard : this->guards) {
-      guard->OnReport([this](const CrashReport& aReport) {
-        this->guards.front()->OnToldCrash(aReport);
-        this->guards.back()->OnToldCrash(aReport);
+    for (auto& filter : this->filters) {
+      filter->SetReportListener([this](const CrashReport& aReport) {
+        this->filters.front()->OnRemoteCrash(aReport);
+        this->filters.back()->OnRemoteCrash(aReport);
       });
     }
   }
@@ -65,13 +66,13 @@
         this->SendVerdicts();
         nextUpdateAt += this->updateInterval;
       }
-      PoisonGuard& guard = *this->guards[this->random() % this->guards.size()];
-      if (guard.IsPoisoned(kRequest)) {
+      PoisonRequestFilter& filter = *this->filters[this->random() % this->filters.size()];
+      if (filter.IsPoisoned(kRequest)) {
         continue;
       }
       lateSends += thirdCrashAt && now > *thirdCrashAt + aBound ? 1 : 0;
       ++crashes;
-      guard.OnCrash({ kRequest, static_cast<std::uint64_t>(crashes), this->random() % 4, 0, 0 });
+      filter.OnCrash({ kRequest, static_cast<std::uint64_t>(crashes), this->random() % 4, 0, 0 });
       thirdCrashAt = crashes == 3 ? now : thirdCrashAt;
     }
     return lateSends;
@@ -82,10 +83,10 @@
   void SendVerdicts()
   {
     std::bernoulli_distribution isLost(this->lossProbability);
-    const auto verdicts = this->guards.front()->Notes();
-    for (auto& guard : this->guards) {
+    const auto verdicts = this->filters.front()->Verdicts();
+    for (auto& filter : this->filters) {
       if (!isLost(this->random)) {
-        guard->OnNotes(verdicts);
+        filter->OnVerdicts(verdicts);
       }
     }
   }
@@ -94,12 +95,12 @@
   Milliseconds updateInterval;
   double lossProbability;
   std::mt19937_64 random;
-  std::vector<std::unique_ptr<PoisonGuard>> guards;
+  std::vector<std::unique_ptr<PoisonRequestFilter>> filters;
 };
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(PoisonGuardTests, Fixture)
+BOOST_FIXTURE_TEST_SUITE(PoisonRequestFilterTests, Fixture)
 
 /// A request that crashes each endpoint is received by random daemons. It is poisoned after three crashes; once
 /// connected daemons must have received each other's verdicts, at most three more sends are allowed.
@@ -124,12 +125,12 @@
   this->Crash(1, 1);
   this->clock.Advance(Seconds(2));
   this->Crash(2, 2);
-  BOOST_TEST(this->guard.IsSuspect(kRequest));
-  BOOST_TEST(!this->guard.IsPoisoned(kRequest));
+  BOOST_TEST(this->filter.IsSuspect(kRequest));
+  BOOST_TEST(!this->filter.IsPoisoned(kRequest));
   this->clock.Advance(Seconds(2));
   this->Crash(3, 1);
-  BOOST_TEST(this->guard.IsPoisoned(kRequest));
-  BOOST_TEST(this->guard.Poisoned() == 1);
+  BOOST_TEST(this->filter.IsPoisoned(kRequest));
+  BOOST_TEST(this->filter.PoisonedCount() == 1);
 }
 
 BOOST_AUTO_TEST_CASE(LossOfAFailureDomainCountsAsOneCrash)
@@ -138,7 +139,7 @@
     this->Crash(endpoint, 1);
     this->clock.Advance(Milliseconds(2));
   }
-  BOOST_TEST(!this->guard.IsSuspect(kRequest));
+  BOOST_TEST(!this->filter.IsSuspect(kRequest));
 }
 
 BOOST_AUTO_TEST_CASE(CrashesInOneDomainCountSeparatelyIfSentAfterEachLoss)
@@ -147,7 +148,7 @@
     this->Crash(endpoint, 1, Milliseconds(10));
     this->clock.Advance(Milliseconds(30));
   }
-  BOOST_TEST(this->guard.IsPoisoned(kRequest));
+  BOOST_TEST(this->filter.IsPoisoned(kRequest));
 }
 
 BOOST_AUTO_TEST_CASE(RepeatedReportsOfOneEndpointCountOnce)
@@ -156,7 +157,7 @@
     this->Crash(1, 1, Milliseconds(0));
     this->clock.Advance(Seconds(2));
   }
-  BOOST_TEST(!this->guard.IsSuspect(kRequest));
+  BOOST_TEST(!this->filter.IsSuspect(kRequest));
 }
 
 /// Guards against poisoning streams that ran beside a request that crashes endpoints: before any stream had completed,
@@ -165,40 +166,40 @@
 BOOST_AUTO_TEST_CASE(CrashAfterPartOfTheAnswerCountsHalf)
 {
   for (std::uint64_t endpoint = 1; endpoint <= 6; ++endpoint) {
-    BOOST_TEST(!this->guard.IsPoisoned(kRequest));
-    this->guard.OnCrash({ kRequest, endpoint, endpoint, 0, 50, true });
+    BOOST_TEST(!this->filter.IsPoisoned(kRequest));
+    this->filter.OnCrash({ kRequest, endpoint, endpoint, 0, 50, true });
     this->clock.Advance(Seconds(2));
   }
-  BOOST_TEST(this->guard.IsPoisoned(kRequest));
+  BOOST_TEST(this->filter.IsPoisoned(kRequest));
 }
 
 BOOST_AUTO_TEST_CASE(RequestThatCompletedRecentlyIsNotBlamed)
 {
   for (std::uint64_t endpoint = 1; endpoint <= 10; ++endpoint) {
-    this->guard.OnWhole(kRequest);
+    this->filter.OnRequestCompleted(kRequest);
     this->clock.Advance(Seconds(3));
     this->Crash(endpoint, endpoint);
   }
-  BOOST_TEST(!this->guard.IsSuspect(kRequest));
+  BOOST_TEST(!this->filter.IsSuspect(kRequest));
 }
 
 BOOST_AUTO_TEST_CASE(CompletionOnAnotherDaemonClearsTheRequest)
 {
-  PoisonGuard other({}, this->clock);
+  PoisonRequestFilter other({}, this->clock);
   for (std::uint64_t endpoint = 1; endpoint <= 3; ++endpoint) {
     this->Crash(endpoint, endpoint);
     this->clock.Advance(Seconds(1));
   }
-  other.OnWhole(kRequest);
+  other.OnRequestCompleted(kRequest);
   // The daemon that observed the completion answers the verdict with the status Cleared
-  other.OnNotes(this->guard.Notes());
+  other.OnVerdicts(this->filter.Verdicts());
   BOOST_TEST(!other.IsPoisoned(kRequest));
-  this->guard.OnNotes(other.Notes());
-  BOOST_TEST(!this->guard.IsPoisoned(kRequest));
+  this->filter.OnVerdicts(other.Verdicts());
+  BOOST_TEST(!this->filter.IsPoisoned(kRequest));
   // Earlier crashes are not counted any more
   this->clock.Advance(Seconds(20));
   this->Crash(4, 4);
-  BOOST_TEST(!this->guard.IsSuspect(kRequest));
+  BOOST_TEST(!this->filter.IsSuspect(kRequest));
 }
 
 BOOST_AUTO_TEST_CASE(OneCrashAfterExpiryPoisonsTheRequestAgain)
@@ -208,24 +209,24 @@
     this->clock.Advance(Seconds(1));
   }
   this->clock.Advance(Seconds(601));
-  BOOST_TEST(!this->guard.IsPoisoned(kRequest));
+  BOOST_TEST(!this->filter.IsPoisoned(kRequest));
   this->Crash(4, 4);
-  BOOST_TEST(this->guard.IsPoisoned(kRequest));
+  BOOST_TEST(this->filter.IsPoisoned(kRequest));
 }
 
 BOOST_AUTO_TEST_CASE(VerdictsExchangedBetweenDaemonsExpire)
 {
-  PoisonGuard other({}, this->clock);
+  PoisonRequestFilter other({}, this->clock);
   for (std::uint64_t endpoint = 1; endpoint <= 3; ++endpoint) {
     this->Crash(endpoint, endpoint);
     this->clock.Advance(Seconds(1));
   }
   for (int round = 0; round < 700; ++round) {
-    other.OnNotes(this->guard.Notes());
+    other.OnVerdicts(this->filter.Verdicts());
     this->clock.Advance(Seconds(1));
-    this->guard.OnNotes(other.Notes());
+    this->filter.OnVerdicts(other.Verdicts());
   }
-  BOOST_TEST(!this->guard.IsPoisoned(kRequest));
+  BOOST_TEST(!this->filter.IsPoisoned(kRequest));
   BOOST_TEST(!other.IsPoisoned(kRequest));
 }
 
@@ -237,34 +238,34 @@
     this->clock.Advance(Seconds(2));
   }
   for (std::uint64_t request = 1000; request < 21'000; ++request) {
-    this->guard.OnToldCrash({ request, request, 9, 0, 0 });
+    this->filter.OnRemoteCrash({ request, request, 9, 0, 0 });
   }
   this->Crash(3, 3);
-  BOOST_TEST(this->guard.IsPoisoned(kRequest));
+  BOOST_TEST(this->filter.IsPoisoned(kRequest));
 }
 
 BOOST_AUTO_TEST_CASE(NumberOfSentVerdictsIsBounded)
 {
   for (std::uint64_t request = 1000; request < 1500; ++request) {
     for (std::uint64_t endpoint = 1; endpoint <= 3; ++endpoint) {
-      this->guard.OnToldCrash({ request, endpoint, endpoint, 0, 0 });
+      this->filter.OnRemoteCrash({ request, endpoint, endpoint, 0, 0 });
     }
   }
-  BOOST_TEST(this->guard.Poisoned() == 500);
-  BOOST_TEST(this->guard.Notes().size() == PoisonSettings{}.maximumVerdicts);
+  BOOST_TEST(this->filter.PoisonedCount() == 500);
+  BOOST_TEST(this->filter.Verdicts().size() == PoisonFilterSettings{}.maximumVerdicts);
 }
 
 BOOST_AUTO_TEST_CASE(ImplausibleVerdictsAndReportsAreIgnored)
 {
-  const std::vector<PoisonNote> verdicts{ { kRequest, static_cast<PoisonStanding>(9), 5000 } };
-  this->guard.OnNotes(verdicts);
-  BOOST_TEST(!this->guard.IsSuspect(kRequest));
+  const std::vector<PoisonVerdict> verdicts{ { kRequest, static_cast<PoisonStatus>(9), 5000 } };
+  this->filter.OnVerdicts(verdicts);
+  BOOST_TEST(!this->filter.IsSuspect(kRequest));
   // Age beyond any retention
   for (std::uint64_t endpoint = 1; endpoint <= 3; ++endpoint) {
-    this->guard.OnToldCrash(
+    this->filter.OnRemoteCrash(
       { kRequest, endpoint, endpoint, std::numeric_limits<std::int64_t>::max(), 0 });
   }
-  BOOST_TEST(!this->guard.IsSuspect(kRequest));
+  BOOST_TEST(!this->filter.IsSuspect(kRequest));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/UnitTests/Admission/RetryBudgetTests.cpp
+++ b/UnitTests/Admission/RetryBudgetTests.cpp
@@ -16,12 +16,12 @@
   RetryBudgetSettings settings;
   settings.capacity = 1;
   RetryBudget budget(settings, clock);
-  BOOST_TEST(budget.TryTake());
-  BOOST_TEST(!budget.TryTake());
+  BOOST_TEST(budget.TryConsume());
+  BOOST_TEST(!budget.TryConsume());
   for (int success = 0; success < 11; ++success) {
     budget.OnSuccess();
   }
-  BOOST_TEST(budget.TryTake());
+  BOOST_TEST(budget.TryConsume());
 }
 
 /// Every endpoint fails and every caller would retry without end: the requests that reach the endpoints must stay a
@@ -43,7 +43,7 @@
   for (int second = 0; second < kSeconds; ++second) {
     for (int request = 0; request < kPerSecond; ++request) {
       ++requests;
-      for (int attempt = 0; attempt < 10 && budgets[request % kDaemons]->TryTake(); ++attempt) {
+      for (int attempt = 0; attempt < 10 && budgets[request % kDaemons]->TryConsume(); ++attempt) {
         ++retries;
       }
     }
--- a/UnitTests/Admission/PooledBucketTests.cpp
+++ b/UnitTests/Admission/SharedTokenBucketTests.cpp
@@ -1,4 +1,4 @@
-#include "Lagoonward/Admission/PooledBucket.h"
+#include "Lagoonward/Admission/SharedTokenBucket.h"
 #include "Lagoonward/Core/VirtualClock.h"
 #include "UnitTests/Support/SharedLimit.h"
 
@@ -23,7 +23,7 @@
 {
   [[nodiscard]] double Take(double aTokens, TimePoint aNow)
   {
-    return this->limit->Take(this->index, aTokens, aNow);
+    return this->limit->TryConsume(this->index, aTokens, aNow);
   }
   [[nodiscard]] double Level() const { return this->limit->buckets[this->index].Level(); }
 
@@ -41,7 +41,7 @@
     for (std::size_t index = 0; index < aDaemons; ++index) {
       this->buckets.push_back({ &this->limit, index });
     }
-    this->limit.reaches = [this](std::size_t aFrom, std::size_t aTo) {
+    this->limit.canReach = [this](std::size_t aFrom, std::size_t aTo) {
       return aFrom < this->connectedDaemons && aTo < this->connectedDaemons;
     };
   }
@@ -56,15 +56,15 @@
     this->clock.Advance(kInterval);
     this->connectedDaemons = aConnectedDaemons;
     const TimePoint now = this->clock.Now();
-    std::vector<PooledBucket>& all = this->limit.buckets;
+    std::vector<SharedTokenBucket>& all = this->limit.buckets;
     for (std::size_t from = 0; from < aConnectedDaemons; ++from) {
       for (std::size_t to = 0; to < aConnectedDaemons; ++to) {
         if (from != to) {
-          all[to].OnPeer(from, all[from].AdmittedTotal(), now);
+          all[to].OnPeerTotal(from, all[from].AdmittedTotal(), now);
         }
       }
     }
-    for (PooledBucket& bucket : all) {
+    for (SharedTokenBucket& bucket : all) {
       bucket.OnSendInterval(static_cast<int>(all.size()), now);
     }
   }
@@ -98,7 +98,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(PooledBucketTests)
+BOOST_AUTO_TEST_SUITE(SharedTokenBucketTests)
 
 BOOST_AUTO_TEST_CASE(OneDaemonAdmitsALargeRequestWhileTheOthersAreIdle)
 {
@@ -169,12 +169,12 @@
 BOOST_AUTO_TEST_CASE(TotalOfARestartedPeerCountsFromZero)
 {
   VirtualClock clock;
-  PooledBucket bucket({}, clock.Now());
+  SharedTokenBucket bucket({}, clock.Now());
   bucket.Configure(kLimit, clock.Now());
-  bucket.OnPeer(1, 5000, clock.Now());
+  bucket.OnPeerTotal(1, 5000, clock.Now());
   clock.Advance(kInterval);
   const double before = bucket.Level();
-  bucket.OnPeer(1, 100, clock.Now());
+  bucket.OnPeerTotal(1, 100, clock.Now());
   BOOST_TEST(bucket.Level() < before + kLimit.rate);
   BOOST_TEST(bucket.Level() > -1000);
 }
@@ -190,7 +190,7 @@
   Deployment deployment(kRestarted);
   double admitted = 0;
   for (int interval = 0; interval < kIntervals; ++interval) {
-    for (PooledBucket& bucket : deployment.limit.buckets) {
+    for (SharedTokenBucket& bucket : deployment.limit.buckets) {
       bucket.OnSendInterval(kDaemons, deployment.clock.Now());
     }
     admitted += deployment.Drain(1);
@@ -204,21 +204,21 @@
 BOOST_AUTO_TEST_CASE(NothingIsAdmittedBeforeTheDaemonCountIsKnown)
 {
   VirtualClock clock;
-  PooledBucket bucket({}, clock.Now());
+  SharedTokenBucket bucket({}, clock.Now());
   bucket.Configure(kLimit, clock.Now());
-  BOOST_TEST(bucket.Take(1, clock.Now()) > 0);
+  BOOST_TEST(bucket.TryConsume(1, clock.Now()) > 0);
   // With the count it uses its share
   bucket.OnSendInterval(4, clock.Now());
-  BOOST_TEST(bucket.Take(1, clock.Now()) == 0);
+  BOOST_TEST(bucket.TryConsume(1, clock.Now()) == 0);
 }
 
 BOOST_AUTO_TEST_CASE(DaemonCountsAsTheOnlyOneAfterTheDaemonCountTimeout)
 {
   VirtualClock clock;
-  PooledBucket bucket({}, clock.Now());
+  SharedTokenBucket bucket({}, clock.Now());
   bucket.Configure(kLimit, clock.Now());
-  clock.Advance(PooledBucketSettings{}.daemonCountTimeout);
-  BOOST_TEST(bucket.Take(100, clock.Now()) == 0);
+  clock.Advance(SharedTokenBucketSettings{}.daemonCountTimeout);
+  BOOST_TEST(bucket.TryConsume(100, clock.Now()) == 0);
 }
 
 /// A client far above its limit sends requests to every daemon without pause, starting with a full bucket. Guards
@@ -251,7 +251,7 @@
     const TimePoint now = this->clock.Now();
     std::vector<double> totals;
     double sum = 0;
-    for (const PooledBucket& bucket : this->limit.buckets) {
+    for (const SharedTokenBucket& bucket : this->limit.buckets) {
       totals.push_back(bucket.AdmittedTotal());
       sum += totals.back();
     }
@@ -264,8 +264,8 @@
     }
     for (std::size_t index = 0; index < this->limit.buckets.size(); ++index) {
       this->limit.buckets[index].OnSendInterval(this->daemons, now);
-      this->limit.buckets[index].OnPeer(1, this->receivedTotals.front()[index], now,
-                                        this->daemons - 1);
+      this->limit.buckets[index].OnPeerTotal(1, this->receivedTotals.front()[index], now,
+                                             this->daemons - 1);
     }
   }
 
@@ -273,7 +273,7 @@
   bool DrainAll(double aTokens)
   {
     for (std::size_t index = 0; index < this->limit.buckets.size(); ++index) {
-      while (this->limit.Take(index, aTokens, this->clock.Now()) == 0) {
+      while (this->limit.TryConsume(index, aTokens, this->clock.Now()) == 0) {
         this->admitted += aTokens;
       }
     }
@@ -320,7 +320,7 @@
   FullLoad load(daemons, 3);
   constexpr int kIntervals = 400;
   for (int interval = 0; interval < kIntervals; ++interval) {
-    while (load.limit.Take(0, tokens, load.clock.Now()) == 0) {
+    while (load.limit.TryConsume(0, tokens, load.clock.Now()) == 0) {
       load.admitted += tokens;
     }
     load.Exchange();
@@ -337,28 +337,28 @@
 {
   FullLoad load(295, 3);
   const double large = FullLoad::kLimit.capacity * 0.7;
-  BOOST_TEST(load.limit.Take(static_cast<std::size_t>(daemon), large, load.clock.Now()) == 0);
+  BOOST_TEST(load.limit.TryConsume(static_cast<std::size_t>(daemon), large, load.clock.Now()) == 0);
 }
 
 /// An unrelated change of configuration arrives between a grant of tokens and the request that they were granted for.
 BOOST_AUTO_TEST_CASE(SettingTheSameLimitAgainKeepsGrantedTokens)
 {
   FullLoad load(40, 1);
-  PooledBucket& bucket = load.limit.buckets[0];
-  bucket.OnLoan({ 4000, 0 }, 4000, load.clock.Now());
+  SharedTokenBucket& bucket = load.limit.buckets[0];
+  bucket.OnTokenGrant({ 4000, 0 }, 4000, load.clock.Now());
   bucket.Configure(FullLoad::kLimit, load.clock.Now());
   bucket.OnSendInterval(41, load.clock.Now());
-  BOOST_TEST(bucket.Take(4000, load.clock.Now()) == 0);
+  BOOST_TEST(bucket.TryConsume(4000, load.clock.Now()) == 0);
 }
 
 BOOST_AUTO_TEST_CASE(WaitAfterARefusalIsBounded)
 {
   FullLoad load(40, 1);
-  PooledBucket& bucket = load.limit.buckets[0];
-  bucket.OnLoan({ 0, 1e300 }, 700, load.clock.Now());
-  BOOST_TEST(!bucket.WantedLoan(700, load.clock.Now()).has_value());
-  load.clock.Advance(PooledBucketSettings{}.maximumRefusal);
-  BOOST_TEST(bucket.WantedLoan(700, load.clock.Now()).has_value());
+  SharedTokenBucket& bucket = load.limit.buckets[0];
+  bucket.OnTokenGrant({ 0, 1e300 }, 700, load.clock.Now());
+  BOOST_TEST(!bucket.MakeTokenRequest(700, load.clock.Now()).has_value());
+  load.clock.Advance(SharedTokenBucketSettings{}.maximumRefusal);
+  BOOST_TEST(bucket.MakeTokenRequest(700, load.clock.Now()).has_value());
 }
 
 /// The owner of the primary reserve does not reply: the backup grants tokens immediately, and later becomes the
@@ -367,19 +367,19 @@
 {
   constexpr std::size_t kDaemons = 40;
   FullLoad load(kDaemons, 3);
-  const std::size_t primary = load.limit.reserves[0];
-  const std::size_t backup = load.limit.reserves[1];
-  load.limit.reaches = [primary](std::size_t, std::size_t aTo) { return aTo != primary; };
+  const std::size_t primary = load.limit.reserveDaemons[0];
+  const std::size_t backup = load.limit.reserveDaemons[1];
+  load.limit.canReach = [primary](std::size_t, std::size_t aTo) { return aTo != primary; };
   double admitted = 0;
-  while (load.limit.Take(0, 700, load.clock.Now()) == 0) {
+  while (load.limit.TryConsume(0, 700, load.clock.Now()) == 0) {
     admitted += 700;
   }
   BOOST_TEST(admitted >= FullLoad::kLimit.capacity * 0.2 - 700);
-  load.limit.buckets[backup].SetRole(ReserveRole::Primary, load.clock.Now());
+  load.limit.buckets[backup].SetReserveRole(ReserveRole::Primary, load.clock.Now());
   for (int interval = 0; interval < 100; ++interval) {
     load.Exchange();
   }
-  BOOST_TEST(load.limit.Take(0, FullLoad::kLimit.capacity * 0.6, load.clock.Now()) == 0);
+  BOOST_TEST(load.limit.TryConsume(0, FullLoad::kLimit.capacity * 0.6, load.clock.Now()) == 0);
 }
 
 /// Full load while the roles of the reserves move from daemon to daemon: the tokens of a reserve must not be used
@@ -393,11 +393,11 @@
     isWithinLimit = load.DrainAll(120) && isWithinLimit;
     if (round % 5 == 0) {
       const TimePoint now = load.clock.Now();
-      std::vector<std::size_t>& reserves = load.limit.reserves;
+      std::vector<std::size_t>& reserves = load.limit.reserveDaemons;
       const std::size_t next = (reserves[1] + kDaemons - 1) % kDaemons;
-      load.limit.buckets[reserves[0]].SetRole(ReserveRole::None, now);
-      load.limit.buckets[reserves[1]].SetRole(ReserveRole::Primary, now);
-      load.limit.buckets[next].SetRole(ReserveRole::Backup, now);
+      load.limit.buckets[reserves[0]].SetReserveRole(ReserveRole::None, now);
+      load.limit.buckets[reserves[1]].SetReserveRole(ReserveRole::Primary, now);
+      load.limit.buckets[next].SetReserveRole(ReserveRole::Backup, now);
       reserves = { reserves[1], next };
     }
     load.Exchange();
--- a/UnitTests/Attempts/AnswerTests.cpp
+++ b/UnitTests/Attempts/AnswerTests.cpp
@@ -16,7 +16,7 @@
     this->text = aAnswer.Text();
     this->ended = aAnswer.Ended();
   }
-  [[nodiscard]] bool IsGone() override { return this->disconnected; }
+  [[nodiscard]] bool IsDisconnected() override { return this->disconnected; }
 
   std::string text;
   bool ended = false;
--- a/UnitTests/Attempts/RemoteAnswerTests.cpp
+++ b/UnitTests/Attempts/RemoteAnswerTests.cpp
@@ -14,10 +14,10 @@
 class ScriptedDirectory final : public RequestDirectory
 {
 public:
-  void Place(const RequestPlace&) override {}
-  void Find(const std::string&, Found aFound) override { aFound(std::nullopt); }
+  void PublishLocation(const RequestLocation&) override {}
+  void Find(const std::string&, FindCallback aFound) override { aFound(std::nullopt); }
 
-  void Read(std::uint64_t, const AnswerQuery& aQuery, Part aPart) override
+  void Read(std::uint64_t, const AnswerQuery& aQuery, ReadCallback aPart) override
   {
     this->startPositions.push_back(aQuery.fromToken);
     Result<AnswerPart> part = std::move(this->parts.front());
--- a/UnitTests/Attempts/RunServicePoisonTests.cpp
+++ b/UnitTests/Attempts/RunServicePoisonTests.cpp
@@ -22,7 +22,7 @@
       this->end.set_value(aAnswer.Failure());
     }
   }
-  [[nodiscard]] bool IsGone() override { return false; }
+  [[nodiscard]] bool IsDisconnected() override { return false; }
 
   std::promise<std::optional<Error>> end;
 
@@ -50,7 +50,7 @@
     for (std::size_t index = 0; index < kEndpoints; ++index) {
       this->servers.push_back(std::make_unique<ScriptedServer>([](const std::string& aRequest) {
         return aRequest.ends_with("crash")
-                 ? Script{ { ScriptStep::Kind::Die } }
+                 ? Script{ { ScriptStep::Kind::ResetAndStopListening } }
                  : Script{ { ScriptStep::Kind::Send,
                              "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi" } };
       }));
--- a/UnitTests/Attempts/StreamStopTests.cpp
+++ b/UnitTests/Attempts/StreamCancellationTests.cpp
@@ -1,4 +1,4 @@
-#include "Lagoonward/Attempts/StreamStop.h"
+#include "Lagoonward/Attempts/StreamCancellation.h"
 #include "Lagoonward/Core/SystemClock.h"
 #include "Lagoonward/Wire/HttpServer.h"
 
@@ -29,7 +29,7 @@
   const SystemClock clock;
   const std::string url = "http://127.0.0.1:" + std::to_string(engine.Port()) + "/v1/streams/s";
   std::promise<bool> stopped;
-  std::optional<StreamStop> cancellation;
+  std::optional<StreamCancellation> cancellation;
   TrafficLoop loop(clock, {});
   loop.Start();
   loop.Post([&] {
@@ -48,7 +48,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(StreamStopTests)
+BOOST_AUTO_TEST_SUITE(StreamCancellationTests)
 
 BOOST_AUTO_TEST_CASE(OnlyASuccessStatusConfirmsTheStop)
 {
--- a/UnitTests/Claims/ClaimBatcherTests.cpp
+++ b/UnitTests/Claims/ClaimBatcherTests.cpp
@@ -120,7 +120,7 @@
     this->log.FailAppends({ fault });
     const auto answer = this->first.Submit(key);
     this->Step(this->first, 3);
-    this->log.DeliverLate();
+    this->log.StoreLateAppends();
     BOOST_TEST((answer->value().verdict == Verdict::Won));
     const auto other = this->second.Submit(key);
     this->Step(this->second);
@@ -151,7 +151,7 @@
   // The claimant withdraws; once the log is available again, the key can be claimed
   this->first.batcher.SubmitOutcome({ Key(1), { "d-1", 1 }, Ran::No });
   this->log.SetUnreadable(false);
-  this->log.DeliverLate();
+  this->log.StoreLateAppends();
   this->Step(this->first, 3);
   const auto retried = this->second.Submit(1);
   this->Step(this->second);
@@ -243,7 +243,7 @@
       faulty.FailAppends({ static_cast<Fault>(draw(4)), static_cast<Fault>(draw(4)) });
       faulty.SetUnreadable(draw(4) == 0);
       if (draw(6) == 0) {
-        faulty.DeliverLate();
+        faulty.StoreLateAppends();
       }
       this->Step(*daemons[static_cast<std::size_t>(draw(static_cast<int>(daemons.size())))]);
     }
--- a/UnitTests/Claims/ClaimServiceTests.cpp
+++ b/UnitTests/Claims/ClaimServiceTests.cpp
@@ -90,7 +90,7 @@
     for (const std::string& id : region.ids) {
       const auto [ticket, answer] = region.ClaimAt(id, key);
       dispatched += region.services.at(id)->BeginDispatch(ticket) ? 1 : 0;
-      BOOST_TEST(region.services.at(id)->GiveUp(ticket) == (answer.verdict != Verdict::Won));
+      BOOST_TEST(region.services.at(id)->Withdraw(ticket) == (answer.verdict != Verdict::Won));
     }
     BOOST_TEST(dispatched == 1);
   }
@@ -114,7 +114,7 @@
   Region region(2);
   const auto [ticket, answer] = region.ClaimAt("d-0", 1);
   BOOST_TEST((answer.verdict == Verdict::Won));
-  BOOST_TEST(region.services.at("d-0")->GiveUp(ticket));
+  BOOST_TEST(region.services.at("d-0")->Withdraw(ticket));
   BOOST_TEST(!region.services.at("d-0")->BeginDispatch(ticket));
 
   // The withdrawal is written with the next append; until then callers retry
--- a/UnitTests/Configuration/ConfigurationPublisherTests.cpp
+++ b/UnitTests/Configuration/ConfigurationPublisherTests.cpp
@@ -87,7 +87,7 @@
   const auto repeated = PublishAs(log, "c").value();
   BOOST_TEST((repeated.verdict == Verdict::Accepted));
   BOOST_TEST(repeated.offset == 2);
-  log.DeliverLate();
+  log.StoreLateAppends();
   BOOST_TEST((PublishAs(log, "d", 2).value().verdict == Verdict::Accepted));
 }
 
--- a/UnitTests/Configuration/MarketFollowerTests.cpp
+++ b/UnitTests/Configuration/MarketFollowerTests.cpp
@@ -75,7 +75,7 @@
     last = daemon.follower->Step();
   }
   BOOST_TEST(first.count() >= 50);
-  BOOST_TEST(last.count() >= daemon.settings.backoff.longest.count() / 2);
+  BOOST_TEST(last.count() >= daemon.settings.backoff.maximumDelay.count() / 2);
   BOOST_TEST(daemon.follower->Current()->offset == 0);
   BOOST_TEST(!daemon.follower->Status().logReachable);
   log.SetDown(false);
--- a/UnitTests/Daemon/ConfigurationShareTests.cpp
+++ b/UnitTests/Daemon/ConfigurationStateTests.cpp
@@ -1,4 +1,4 @@
-#include "Lagoonward/Daemon/ConfigurationShare.h"
+#include "Lagoonward/Daemon/ConfigurationState.h"
 #include "UnitTests/Support/SampleManifest.h"
 
 #include <boost/test/unit_test.hpp>
@@ -6,7 +6,7 @@
 using namespace lagoonward;
 using namespace lagoonward::testing;
 
-BOOST_AUTO_TEST_SUITE(ConfigurationShareTests)
+BOOST_AUTO_TEST_SUITE(ConfigurationStateTests)
 
 BOOST_AUTO_TEST_CASE(DecodingReturnsTheEncodedConfigurationAndRejectsMalformedStates)
 {
--- a/UnitTests/Daemon/CrashExchangeTests.cpp
+++ b/UnitTests/Daemon/CrashExchangeTests.cpp
@@ -15,21 +15,21 @@
 struct Daemon
 {
   Daemon(const Clock& aClock, int aIndex)
-    : membership(aClock, LoopbackIdentity(aIndex), LoopbackKeys(), {}, PollNothing)
+    : membership(aClock, LoopbackIdentity(aIndex), LoopbackKeys(), {}, IgnorePoll)
     , poisonFilter({}, aClock)
-    , keepers(LoopbackIdentity(aIndex).self, aClock)
-    , crashExchange({}, keepers, membership, poisonFilter, aClock)
+    , keyOwners(LoopbackIdentity(aIndex).self, aClock)
+    , crashExchange({}, keyOwners, membership, poisonFilter, aClock)
   {
     this->membership.OnPeers([this](const PeerViewPtr& aView) {
-      this->keepers.OnPeers(*aView);
-      this->crashExchange.OnKeepers();
+      this->keyOwners.OnPeers(*aView);
+      this->crashExchange.OnKeyOwnersChanged();
     });
     BOOST_TEST_REQUIRE(this->membership.Start().has_value());
   }
 
   MembershipService membership;
-  PoisonGuard poisonFilter;
-  KeeperDirectory keepers;
+  PoisonRequestFilter poisonFilter;
+  KeyOwnerDirectory keyOwners;
   CrashExchange crashExchange;
 };
 
@@ -53,7 +53,7 @@
   for (std::size_t daemon = 0; daemon < 3; ++daemon) {
     this->Crash(daemon, daemon + 1);
   }
-  const Keepers owners = this->KeepersOf(kRequest);
+  const KeyOwners owners = this->OwnersOf(kRequest);
   for (const auto& owner : { owners.primary, owners.backup }) {
     Await([&] {
       return this->daemons[LoopbackIndexOf(owner->key)]->poisonFilter.IsPoisoned(kRequest);
@@ -64,7 +64,7 @@
 /// Owners that stop lose the reports; the daemons that observed the crashes send them again to the new owners.
 BOOST_AUTO_TEST_CASE(NewOwnersReceiveCrashesObservedEarlier)
 {
-  const Keepers owners = this->KeepersOf(kRequest);
+  const KeyOwners owners = this->OwnersOf(kRequest);
   const std::size_t primary = LoopbackIndexOf(owners.primary->key);
   const std::size_t backup = LoopbackIndexOf(owners.backup->key);
   std::vector<std::size_t> others;
--- a/UnitTests/Daemon/EndpointNewsTests.cpp
+++ b/UnitTests/Daemon/EndpointReplicatorTests.cpp
@@ -1,6 +1,6 @@
 #include "Lagoonward/Core/SystemClock.h"
-#include "Lagoonward/Daemon/EndpointNews.h"
-#include "Lagoonward/Daemon/EndpointNewsMessages.h"
+#include "Lagoonward/Daemon/EndpointReplicator.h"
+#include "Lagoonward/Daemon/EndpointUpdateMessages.h"
 #include "Lagoonward/Daemon/PeerMessages.h"
 
 #include <boost/test/data/monomorphic.hpp>
@@ -36,7 +36,7 @@
 struct Daemon
 {
   Daemon(const Clock& aClock, int aIndex, const std::string& aDomain,
-         const EndpointNewsSettings& aSettings)
+         const EndpointReplicatorSettings& aSettings)
     : clock(aClock)
     , membership(aClock, Identity(aIndex, aDomain), KeyRing::Parse(kKey, "test").value(), {},
                  [](const HostEntry&, const MembershipService::PollDone&) {})
@@ -56,9 +56,9 @@
     return identity;
   }
 
-  EndpointNewsHooks Hooks()
+  EndpointReplicatorHooks Hooks()
   {
-    EndpointNewsHooks hooks;
+    EndpointReplicatorHooks hooks;
     hooks.decode = &Decode;
     hooks.onChanged = [this] { ++this->changeCount; };
     hooks.configurationVersion = [this] { return this->configuration.load(); };
@@ -104,7 +104,7 @@
   std::atomic<int> changeCount{ 0 };
   std::atomic<std::int64_t> configuration{ -1 };
   MembershipService membership;
-  EndpointNews replicator;
+  EndpointReplicator replicator;
 };
 
 /// Four daemons of one failure domain and one of another.
@@ -148,7 +148,7 @@
       const PeerViewPtr view = this->daemons[0]->membership.Peers();
       const AggregationPlan plan = MakeAggregationPlan(last, true, *view, {});
       // The view is the first daemon's own, which does not contain that daemon
-      if (!plan.IsAggregator(last.Key()) && plan.own.size() == 2) {
+      if (!plan.IsAggregator(last.Key()) && plan.ownAggregators.size() == 2) {
         return this->Add(index, "a");
       }
     }
@@ -191,7 +191,7 @@
   }
 
   SystemClock clock;
-  EndpointNewsSettings settings;
+  EndpointReplicatorSettings settings;
   std::vector<HostEntry> hosts;
   std::vector<std::unique_ptr<Daemon>> daemons;
 };
@@ -209,7 +209,7 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(EndpointNewsTests, Fleet)
+BOOST_FIXTURE_TEST_SUITE(EndpointReplicatorTests, Fleet)
 
 BOOST_AUTO_TEST_CASE(RecordsReadByAnAggregatorReachItsFailureDomain)
 {
@@ -323,7 +323,7 @@
 BOOST_AUTO_TEST_CASE(AnImplausibleAgeIsIgnored)
 {
   constexpr auto kEndpointUpdate =
-    static_cast<RequestType>(static_cast<std::uint16_t>(RequestType::FirstForeign) + 4);
+    static_cast<RequestType>(static_cast<std::uint16_t>(RequestType::FirstExternal) + 4);
   Daemon& sender = *this->daemons[0];
   Daemon& listener = *this->daemons[1];
   const PeerAddress receiver{ Daemon::Identity(1, "a").self.Key(), "127.0.0.1",
@@ -556,14 +556,14 @@
 
 BOOST_AUTO_TEST_SUITE_END()
 
-BOOST_AUTO_TEST_SUITE(EndpointNewsSettingsTests)
+BOOST_AUTO_TEST_SUITE(EndpointReplicatorSettingsTests)
 
 /// A request that reaches an endpoint after the time within which its leaving must be known is a fault.
 BOOST_DATA_TEST_CASE(LeavingIsKnownInTimeWhenThePrimaryReaderFails,
                      boost::unit_test::data::make({ 700, 1000, 2000, 3000, 4000, 10000 }), notice)
 {
   const Milliseconds leavingNotice(notice);
-  const EndpointNewsSettings settings = EndpointReplicatorSettingsFor(leavingNotice);
+  const EndpointReplicatorSettings settings = EndpointReplicatorSettingsFor(leavingNotice);
   const Milliseconds longestStalenessLimit =
     settings.readerStalenessLimit + 2 * settings.stalenessLimitStep;
   BOOST_TEST((longestStalenessLimit <= leavingNotice));
@@ -573,8 +573,8 @@
 
 BOOST_AUTO_TEST_CASE(DefaultsEqualTheSettingsForTwoSeconds)
 {
-  const EndpointNewsSettings defaults;
-  const EndpointNewsSettings derived = EndpointReplicatorSettingsFor(Seconds(2));
+  const EndpointReplicatorSettings defaults;
+  const EndpointReplicatorSettings derived = EndpointReplicatorSettingsFor(Seconds(2));
   BOOST_TEST((defaults.readerInterval == derived.readerInterval));
   BOOST_TEST((defaults.readerStalenessLimit == derived.readerStalenessLimit));
   BOOST_TEST((defaults.stalenessLimitStep == derived.stalenessLimitStep));
--- a/UnitTests/Daemon/LeaseFollowerTests.cpp
+++ b/UnitTests/Daemon/LeaseFollowerTests.cpp
@@ -122,18 +122,19 @@
   Run(this->first, 0, Seconds(5));
   BOOST_REQUIRE(this->first.Status().held);
   const int reads = this->log.Reads();
-  const Offset end = this->log.End(LeaseStream("utslipp", "vestland"));
+  const Offset end = this->log.End(LeaseStreamName("utslipp", "vestland"));
   Run(this->first, 0, Seconds(60));
   BOOST_TEST(this->first.Status().held);
   BOOST_TEST(this->log.Reads() == reads);
-  BOOST_TEST(this->log.End(LeaseStream("utslipp", "vestland")) > end);
+  BOOST_TEST(this->log.End(LeaseStreamName("utslipp", "vestland")) > end);
 }
 
 BOOST_AUTO_TEST_CASE(HolderReadsAfterAForeignRecordPrecedesItsAppend)
 {
   Run(this->first, 0, Seconds(5));
   const Offset fencing = this->first.Status().fencing;
-  BOOST_TEST(this->log.Append(LeaseStream("utslipp", "vestland"), "by somebody else").has_value());
+  BOOST_TEST(
+    this->log.Append(LeaseStreamName("utslipp", "vestland"), "by somebody else").has_value());
   const int reads = this->log.Reads();
   Run(this->first, 0, Seconds(20));
   BOOST_TEST(this->log.Reads() > reads);
--- a/UnitTests/Daemon/LimitLoansTests.cpp
+++ b/UnitTests/Daemon/LimitTokenExchangeTests.cpp
@@ -1,5 +1,5 @@
 #include "Lagoonward/Core/SystemClock.h"
-#include "Lagoonward/Daemon/LimitLoans.h"
+#include "Lagoonward/Daemon/LimitTokenExchange.h"
 #include "UnitTests/Support/LoopbackPeers.h"
 
 #include <boost/test/unit_test.hpp>
@@ -16,20 +16,20 @@
 
 constexpr int kDaemons = 3;
 
-/// One daemon that borrows and lends tokens of one account's limit.
+/// One daemon that requests and grants tokens of one account's limit.
 struct Daemon
 {
   Daemon(const Clock& aClock, int aIndex)
-    : membership(aClock, LoopbackIdentity(aIndex), LoopbackKeys(), {}, PollNothing)
+    : membership(aClock, LoopbackIdentity(aIndex), LoopbackKeys(), {}, IgnorePoll)
     , admission(Pooled(), aClock, static_cast<std::uint64_t>(aIndex))
-    , keepers(LoopbackIdentity(aIndex).self, aClock)
-    , loans({}, keepers, membership, admission, aClock)
+    , keyOwners(LoopbackIdentity(aIndex).self, aClock)
+    , exchange({}, keyOwners, membership, admission, aClock)
   {
     this->membership.OnPeers([this](const PeerViewPtr& aView) {
-      this->keepers.OnPeers(*aView);
-      this->loans.OnKeepers();
+      this->keyOwners.OnPeers(*aView);
+      this->exchange.OnKeyOwnersChanged();
     });
-    this->admission.SetDaemons(kDaemons);
+    this->admission.SetDaemonCount(kDaemons);
     Manifest manifest;
     ManifestClient client;
     client.name = kAccount;
@@ -47,22 +47,24 @@
     return settings;
   }
 
-  /// Borrows where the local tokens do not suffice, then asks the admission. @return whether the request is admitted
+  /// Requests tokens where the local tokens do not suffice, then asks the admission. @return whether the request is
+  /// admitted
   bool Ask(double aTokens)
   {
     const AdmissionRequest request{ kAccount, 0, aTokens };
-    if (const auto wanted = this->admission.WantedLoan(request)) {
+    if (const auto wanted = this->admission.MakeTokenRequest(request)) {
       std::promise<void> settled;
-      this->loans.Borrow(*wanted, [&settled] { settled.set_value(); });
-      BOOST_TEST_REQUIRE((settled.get_future().wait_for(kPatience) == std::future_status::ready));
+      this->exchange.RequestTokens(*wanted, [&settled] { settled.set_value(); });
+      BOOST_TEST_REQUIRE(
+        (settled.get_future().wait_for(kAwaitTimeout) == std::future_status::ready));
     }
     return this->admission.Admit(request).has_value();
   }
 
   MembershipService membership;
   Admission admission;
-  KeeperDirectory keepers;
-  LimitLoans loans;
+  KeyOwnerDirectory keyOwners;
+  LimitTokenExchange exchange;
 };
 
 /// Daemons that have full reserves.
@@ -73,34 +75,34 @@
     // A reserve fills while the daemons receive each other's reports
     for (int interval = 0; interval < 12; ++interval) {
       for (const auto& daemon : this->daemons) {
-        static_cast<void>(daemon->admission.TakeDemand());
-        daemon->admission.OnOthers({ 1, kDaemons - 1, {} });
+        static_cast<void>(daemon->admission.CollectDemand());
+        daemon->admission.OnAggregatedDemand({ 1, kDaemons - 1, {} });
       }
       std::this_thread::sleep_for(Milliseconds(100));
     }
   }
 
-  [[nodiscard]] Keepers Owners() const { return this->KeepersOf(HashBytes(kAccount)); }
+  [[nodiscard]] KeyOwners Owners() const { return this->OwnersOf(HashBytes(kAccount)); }
 };
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(LimitLoansTests, Fleet)
+BOOST_FIXTURE_TEST_SUITE(LimitTokenExchangeTests, Fleet)
 
 BOOST_AUTO_TEST_CASE(LargeRequestIsAdmittedWhereTheDaemonOwnsNoReserve)
 {
-  const Keepers owners = this->Owners();
+  const KeyOwners owners = this->Owners();
   const std::size_t third =
     3 - LoopbackIndexOf(owners.primary->key) - LoopbackIndexOf(owners.backup->key);
   BOOST_TEST(this->daemons[third]->Ask(6000));
-  // That emptied the primary reserve; the rest does not suffice, and the next request for a loan is delayed
+  // That emptied the primary reserve; the rest does not suffice, and the next token request is delayed
   BOOST_TEST(!this->daemons[third]->Ask(9000));
-  BOOST_TEST(!this->daemons[third]->admission.WantedLoan({ kAccount, 0, 9000 }).has_value());
+  BOOST_TEST(!this->daemons[third]->admission.MakeTokenRequest({ kAccount, 0, 9000 }).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(BackupLendsAfterThePrimaryStopped)
+BOOST_AUTO_TEST_CASE(BackupGrantsAfterThePrimaryStopped)
 {
-  const Keepers owners = this->Owners();
+  const KeyOwners owners = this->Owners();
   const std::size_t primary = LoopbackIndexOf(owners.primary->key);
   const std::size_t third = 3 - primary - LoopbackIndexOf(owners.backup->key);
   this->daemons[primary]->membership.Stop();
@@ -109,21 +111,22 @@
   BOOST_TEST((std::chrono::steady_clock::now() - begun < Seconds(2)));
 }
 
-BOOST_AUTO_TEST_CASE(DrainingDaemonLendsNothing)
+BOOST_AUTO_TEST_CASE(DrainingDaemonGrantsNothing)
 {
-  const Keepers owners = this->Owners();
+  const KeyOwners owners = this->Owners();
   const std::size_t primary = LoopbackIndexOf(owners.primary->key);
-  this->daemons[primary]->keepers.Drain();
-  this->daemons[primary]->loans.OnKeepers();
-  BOOST_TEST(this->daemons[primary]->admission.Lend({ HashBytes(kAccount), 100, 100, {} }).tokens ==
-             0);
+  this->daemons[primary]->keyOwners.Drain();
+  this->daemons[primary]->exchange.OnKeyOwnersChanged();
+  BOOST_TEST(
+    this->daemons[primary]->admission.GrantTokens({ HashBytes(kAccount), 100, 100, {} }).tokens ==
+    0);
 }
 
-BOOST_AUTO_TEST_CASE(UnknownClientGetsNoLoan)
+BOOST_AUTO_TEST_CASE(UnknownClientGetsNoGrant)
 {
-  const Loan loan = this->daemons[0]->admission.Lend({ 12345, 100, 100, {} });
-  BOOST_TEST(loan.tokens == 0);
-  BOOST_TEST(loan.wait == 0);
+  const LimitTokenGrant grant = this->daemons[0]->admission.GrantTokens({ 12345, 100, 100, {} });
+  BOOST_TEST(grant.tokens == 0);
+  BOOST_TEST(grant.retryAfterSeconds == 0);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/UnitTests/Daemon/MarketLeaderTests.cpp
+++ b/UnitTests/Daemon/MarketLeaderTests.cpp
@@ -132,7 +132,7 @@
   void Lead()
   {
     Round();
-    Pass(std::chrono::duration_cast<Seconds>(this->settings.placement.settle));
+    Pass(std::chrono::duration_cast<Seconds>(this->settings.placement.settleTime));
   }
 };
 
@@ -173,7 +173,7 @@
   Round();
   Round(std::chrono::duration_cast<Seconds>(this->settings.takeoverDelay));
   BOOST_TEST(this->engines.sent.empty());
-  Pass(std::chrono::duration_cast<Seconds>(this->settings.placement.settle));
+  Pass(std::chrono::duration_cast<Seconds>(this->settings.placement.settleTime));
   // A second tenure of the same daemon run
   this->lease.Abandon(this->lease.Status().fencing);
   Round(Seconds(8));
--- a/UnitTests/Daemon/PermitExchangeTests.cpp
+++ b/UnitTests/Daemon/PermitExchangeTests.cpp
@@ -17,28 +17,28 @@
 struct Daemon
 {
   Daemon(const Clock& aClock, int aIndex)
-    : membership(aClock, LoopbackIdentity(aIndex), LoopbackKeys(), {}, PollNothing)
+    : membership(aClock, LoopbackIdentity(aIndex), LoopbackKeys(), {}, IgnorePoll)
     , limits({}, aClock)
-    , keepers(LoopbackIdentity(aIndex).self, aClock)
-    , permits({}, keepers, membership, limits, aClock)
+    , keyOwners(LoopbackIdentity(aIndex).self, aClock)
+    , permits({}, keyOwners, membership, limits, aClock)
   {
-    this->membership.OnPeers([this](const PeerViewPtr& aView) { this->keepers.OnPeers(*aView); });
+    this->membership.OnPeers([this](const PeerViewPtr& aView) { this->keyOwners.OnPeers(*aView); });
     BOOST_TEST_REQUIRE(this->membership.Start().has_value());
   }
 
   PermitReply Ask()
   {
     std::promise<PermitReply> reply;
-    this->permits.Ask(*this->limits.WantedPermit(kEndpoint),
-                      [&reply](const PermitReply& aReply) { reply.set_value(aReply); });
+    this->permits.RequestPermit(*this->limits.MakePermitRequest(kEndpoint),
+                                [&reply](const PermitReply& aReply) { reply.set_value(aReply); });
     auto answered = reply.get_future();
-    BOOST_TEST_REQUIRE((answered.wait_for(kPatience) == std::future_status::ready));
+    BOOST_TEST_REQUIRE((answered.wait_for(kAwaitTimeout) == std::future_status::ready));
     return answered.get();
   }
 
   MembershipService membership;
   EndpointLimits limits;
-  KeeperDirectory keepers;
+  KeyOwnerDirectory keyOwners;
   PermitExchange permits;
 };
 
@@ -48,7 +48,7 @@
   Fleet()
   {
     for (const auto& daemon : this->daemons) {
-      daemon->limits.OnNamed(kEndpoint, 0.5);
+      daemon->limits.OnLimitAdvertised(kEndpoint, 0.5);
     }
   }
 };
@@ -75,20 +75,20 @@
 {
   // Ages are sent in whole milliseconds
   std::this_thread::sleep_for(Milliseconds(20));
-  this->daemons[0]->limits.OnNoneNamed(kEndpoint);
+  this->daemons[0]->limits.OnNoLimitAdvertised(kEndpoint);
   Await([this] { return this->daemons[2]->Ask().answer == PermitAnswer::Unlimited; });
 }
 
 BOOST_AUTO_TEST_CASE(BackupAnswersAfterThePrimaryStopped)
 {
-  const Keepers owners = this->KeepersOf(HashBytes(kEndpoint));
+  const KeyOwners owners = this->OwnersOf(HashBytes(kEndpoint));
   const std::size_t primary = LoopbackIndexOf(owners.primary->key);
   std::size_t asker = 0;
   while (asker == primary || asker == LoopbackIndexOf(owners.backup->key)) {
     ++asker;
   }
   this->daemons[primary]->membership.Stop();
-  BOOST_TEST((this->daemons[asker]->Ask().answer != PermitAnswer::NotKeeper));
+  BOOST_TEST((this->daemons[asker]->Ask().answer != PermitAnswer::NotOwner));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/UnitTests/Daemon/UsageReporterTests.cpp
+++ b/UnitTests/Daemon/UsageReporterTests.cpp
@@ -1,6 +1,6 @@
 #include "Lagoonward/Core/VirtualClock.h"
 #include "Lagoonward/Daemon/UsageReporter.h"
-#include "Lagoonward/Metering/UsageBook.h"
+#include "Lagoonward/Metering/UsageAccumulator.h"
 #include "UnitTests/Support/FakeLogService.h"
 
 #include <boost/test/unit_test.hpp>
@@ -25,11 +25,13 @@
       this->reports.push_back(aRecord);
       return boost::outcome_v2::success();
     };
-    ports.mayAct = [this] { return this->leads ? std::optional<Offset>(1) : std::nullopt; };
+    ports.fencingIfLeader = [this] {
+      return this->leads ? std::optional<Offset>(1) : std::nullopt;
+    };
     ports.onRefused = [](Offset) {};
-    ports.countsOf = [this](std::int64_t aWindow) { return this->book.TotalOf(aWindow); };
-    ports.isDue = [this](Milliseconds aSince) { return this->book.IsDue(aSince); };
-    ports.forget = [this](std::int64_t aBefore) { this->book.Forget(aBefore); };
+    ports.countsOf = [this](std::int64_t aWindow) { return this->accumulator.TotalOf(aWindow); };
+    ports.isDue = [this](Milliseconds aSince) { return this->accumulator.IsDue(aSince); };
+    ports.expireBefore = [this](std::int64_t aBefore) { this->accumulator.EvictBefore(aBefore); };
     return ports;
   }
 
@@ -39,7 +41,7 @@
     constexpr Milliseconds kInterval{ 250 };
     for (Milliseconds passed{ 0 }; passed < aSpan; passed += kInterval) {
       this->clock.Advance(kInterval);
-      this->book.OnCounts(1, this->counter.Read());
+      this->accumulator.OnCounts(1, this->counter.Read());
       this->reporter.Step();
     }
   }
@@ -57,7 +59,7 @@
   VirtualClock clock;
   FakeLogService log;
   UsageCounter counter{ Seconds(1), clock };
-  UsageBook book{ {}, clock };
+  UsageAccumulator accumulator{ {}, clock };
   bool leads = true;
   std::vector<UsageRecord> reports;
   UsageReporter reporter{ Ports(), counter };
@@ -69,7 +71,7 @@
 
 BOOST_AUTO_TEST_CASE(EachWindowIsReportedOnce)
 {
-  this->counter.OnBegan("a");
+  this->counter.OnStarted("a");
   this->Run(Seconds(30));
   BOOST_TEST(this->Reported("a") == 1);
   std::set<std::int64_t> windows;
@@ -84,9 +86,9 @@
 BOOST_AUTO_TEST_CASE(ASuspendedDaemonReportsItsCountsAfterwards)
 {
   this->Run(Milliseconds(500));
-  this->counter.OnBegan("a");
+  this->counter.OnStarted("a");
   this->clock.Advance(Milliseconds(6500));
-  this->counter.OnBegan("b");
+  this->counter.OnStarted("b");
   this->Run(Milliseconds(500));
   this->clock.Advance(Milliseconds(6500));
   this->Run(Seconds(5));
@@ -96,7 +98,7 @@
 
 BOOST_AUTO_TEST_CASE(UsageWithoutALeaderIsReportedByTheNextLeader)
 {
-  this->counter.OnBegan("a");
+  this->counter.OnStarted("a");
   this->leads = false;
   this->Run(Seconds(15));
   BOOST_TEST(this->Reported("a") == 0);
@@ -108,7 +110,7 @@
 /// The log drops old records. A window whose record may have been dropped must not be reported again with other counts.
 BOOST_AUTO_TEST_CASE(AWindowWhoseLogRecordMayHaveExpiredIsNotReported)
 {
-  this->counter.OnBegan("a");
+  this->counter.OnStarted("a");
   this->leads = false;
   this->Run(Seconds(25));
   this->leads = true;
@@ -120,7 +122,7 @@
 {
   const std::int64_t window = this->counter.CurrentWindow();
   static_cast<void>(this->log.Append(kStream, WriteUsageRecord({ window, { { "a", 7 } } })));
-  this->counter.OnBegan("a");
+  this->counter.OnStarted("a");
   this->Run(Seconds(5));
   BOOST_TEST(this->Reported("a") == 7);
 }
--- a/UnitTests/Fleet/EndpointDirectoryTests.cpp
+++ b/UnitTests/Fleet/EndpointDirectoryTests.cpp
@@ -48,19 +48,19 @@
   directory.OnEntry(MakeEndpoint("a"));
   directory.OnEntry(MakeEndpoint("b"));
   clock.Advance(Seconds(10));
-  directory.OnSource(false);
+  directory.SetSourceAvailable(false);
   clock.Advance(Seconds(5));
-  directory.OnSource(true);
+  directory.SetSourceAvailable(true);
 
   // Observed only before this host's outage and after it: the source may have been unavailable to all hosts
-  directory.OnSourceSeen({ testStart, testStart + Seconds(10) });
+  directory.AddSourceAvailability({ testStart, testStart + Seconds(10) });
   BOOST_TEST(!directory.OnRemoved("a"));
-  directory.OnSourceSeen({ testStart + Seconds(14), testStart + Seconds(15) });
+  directory.AddSourceAvailability({ testStart + Seconds(14), testStart + Seconds(15) });
   BOOST_TEST(!directory.OnRemoved("a"));
   BOOST_TEST(!directory.Tick());
 
   // Observed during the whole outage: the delayed removal takes effect as well
-  directory.OnSourceSeen({ testStart, testStart + Seconds(15) });
+  directory.AddSourceAvailability({ testStart, testStart + Seconds(15) });
   BOOST_TEST(directory.OnRemoved("b"));
   BOOST_TEST(directory.Tick());
   BOOST_TEST((directory.Snapshot()->endpoints.at(0).state == EndpointState::Leaving));
@@ -75,9 +75,9 @@
   directory.OnEntry(MakeEndpoint("a"));
   directory.OnEntry(MakeEndpoint("b"));
   clock.Advance(Seconds(10));
-  directory.OnSource(false);
+  directory.SetSourceAvailable(false);
   clock.Advance(Seconds(3));
-  directory.OnSourceSeen({ testStart, clock.Now() });
+  directory.AddSourceAvailability({ testStart, clock.Now() });
   BOOST_TEST(directory.OnRemoved("a"));
   // No recent observation by other hosts either
   clock.Advance(Seconds(3));
@@ -100,17 +100,17 @@
   VirtualClock clock;
   EndpointDirectory directory({}, clock);
   Endpoint first = MakeEndpoint("a", EndpointState::Leaving);
-  first.born = 1000;
+  first.incarnation = 1000;
   directory.OnEntry(first);
   Endpoint second = MakeEndpoint("a");
-  second.born = 2000;
+  second.incarnation = 2000;
   BOOST_TEST(directory.OnEntry(second));
   BOOST_TEST((directory.Snapshot()->endpoints.at(0).state == EndpointState::Live));
 
   // Delayed entries of the earlier instance are ignored, also if they say that it is leaving
   BOOST_TEST(!directory.OnEntry(first));
   BOOST_TEST((directory.Snapshot()->endpoints.at(0).state == EndpointState::Live));
-  BOOST_TEST(directory.Snapshot()->endpoints.at(0).born == 2000);
+  BOOST_TEST(directory.Snapshot()->endpoints.at(0).incarnation == 2000);
 }
 
 BOOST_AUTO_TEST_CASE(LaterInstanceIsNotMissingAfterOutage)
@@ -118,13 +118,13 @@
   VirtualClock clock;
   EndpointDirectory directory({}, clock);
   Endpoint endpoint = MakeEndpoint("a");
-  endpoint.born = 1000;
+  endpoint.incarnation = 1000;
   directory.OnEntry(endpoint);
-  directory.OnSource(false);
+  directory.SetSourceAvailable(false);
   directory.OnRemoved("a");
-  endpoint.born = 2000;
+  endpoint.incarnation = 2000;
   BOOST_TEST(directory.OnEntry(endpoint));
-  directory.OnSource(true);
+  directory.SetSourceAvailable(true);
   clock.Advance(Seconds(3));
   BOOST_TEST(!directory.Tick());
 }
@@ -162,10 +162,10 @@
   EndpointDirectory directory({}, clock);
   directory.OnEntry(MakeEndpoint("stays"));
   directory.OnEntry(MakeEndpoint("goes"));
-  directory.OnSource(false);
+  directory.SetSourceAvailable(false);
   clock.Advance(Seconds(5));
-  directory.OnSource(true);
-  directory.OnWhole({});
+  directory.SetSourceAvailable(true);
+  directory.OnFullRead({});
   BOOST_TEST(directory.Snapshot()->endpoints.size() == 2U);
   clock.Advance(Milliseconds(1500));
   BOOST_TEST(!directory.Tick());
@@ -187,9 +187,9 @@
   VirtualClock clock;
   EndpointDirectory directory({}, clock);
   directory.OnEntry(MakeEndpoint("a", EndpointState::Leaving));
-  directory.OnSource(false);
-  directory.OnSource(true);
-  BOOST_TEST(directory.OnWhole({}));
+  directory.SetSourceAvailable(false);
+  directory.SetSourceAvailable(true);
+  BOOST_TEST(directory.OnFullRead({}));
   clock.Advance(Seconds(11));
   BOOST_TEST(directory.Tick());
   BOOST_TEST(directory.Snapshot()->endpoints.empty());
--- a/UnitTests/Leadership/LeaseKeeperTests.cpp
+++ b/UnitTests/Leadership/LeaseManagerTests.cpp
@@ -1,5 +1,5 @@
 #include "Lagoonward/Core/VirtualClock.h"
-#include "Lagoonward/Leadership/LeaseKeeper.h"
+#include "Lagoonward/Leadership/LeaseManager.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -13,8 +13,8 @@
   VirtualClock clock;
   LeaseSettings settings;
   LogPage log;
-  LeaseKeeper first{ settings, clock, "first", "run-1" };
-  LeaseKeeper second{ settings, clock, "second", "run-2" };
+  LeaseManager first{ settings, clock, "first", "run-1" };
+  LeaseManager second{ settings, clock, "second", "run-2" };
 
   Fixture() { this->second.SetRank(1); }
 
@@ -23,15 +23,15 @@
     this->log.records.push_back({ this->log.end++, aRecord });
   }
 
-  void Read(LeaseKeeper& aKeeper) const { aKeeper.ObservePage(this->log); }
+  void Read(LeaseManager& aManager) const { aManager.ObservePage(this->log); }
 
   /// Reads the log; appends a record if one is due, and reads again.
-  void Step(LeaseKeeper& aKeeper)
+  void Step(LeaseManager& aManager)
   {
-    Read(aKeeper);
-    if (const auto record = aKeeper.NextAppend()) {
+    Read(aManager);
+    if (const auto record = aManager.NextAppend()) {
       Append(*record);
-      Read(aKeeper);
+      Read(aManager);
     }
   }
 
@@ -43,15 +43,16 @@
                   [&](const LogRecord& aRecord) { return aRecord.offset < aStart; });
   }
 
-  [[nodiscard]] static bool IsAuthorized(const LeaseKeeper& aKeeper, OrderKind aKind, bool aChecks)
+  [[nodiscard]] static bool IsAuthorized(const LeaseManager& aManager, OrderKind aKind,
+                                         bool aChecks)
   {
-    return aKeeper.Authorize(aKind, aChecks).has_value();
+    return aManager.Authorize(aKind, aChecks).has_value();
   }
 };
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(LeaseKeeperTests, Fixture)
+BOOST_FIXTURE_TEST_SUITE(LeaseManagerTests, Fixture)
 
 BOOST_AUTO_TEST_CASE(HolderKeepsItsFencingNumberOverRenewals)
 {
@@ -146,7 +147,7 @@
 BOOST_AUTO_TEST_CASE(RestartedDaemonDoesNotHoldTheLeaseOfItsFormerRun)
 {
   Step(this->first);
-  LeaseKeeper again(this->settings, this->clock, "first", "run-3");
+  LeaseManager again(this->settings, this->clock, "first", "run-3");
   Read(again);
   BOOST_TEST(!again.Holds());
   BOOST_TEST(!again.NextAppend().has_value());
@@ -162,7 +163,7 @@
   Read(this->second);
   BOOST_TEST(this->second.Leader() == "first");
   Truncate(this->log.end - 1);
-  LeaseKeeper late(this->settings, this->clock, "late", "run-4");
+  LeaseManager late(this->settings, this->clock, "late", "run-4");
   Read(late);
   BOOST_TEST(late.Leader().empty());
   BOOST_TEST(!late.NextAppend().has_value());
@@ -178,7 +179,7 @@
   Step(this->first);
   Append("not a record");
   Truncate(1);
-  LeaseKeeper late(this->settings, this->clock, "late", "run-4");
+  LeaseManager late(this->settings, this->clock, "late", "run-4");
   Step(late);
   this->clock.Advance(this->settings.duration + this->settings.handover);
   Step(late);
@@ -193,8 +194,8 @@
 {
   Step(this->first);
   Truncate(1);
-  LeaseKeeper one(this->settings, this->clock, "one", "run-4");
-  LeaseKeeper two(this->settings, this->clock, "two", "run-5");
+  LeaseManager one(this->settings, this->clock, "one", "run-4");
+  LeaseManager two(this->settings, this->clock, "two", "run-5");
   two.SetRank(1);
   for (int step = 0; step < 40; ++step) {
     Step(one);
--- a/UnitTests/Membership/AggregationPlanTests.cpp
+++ b/UnitTests/Membership/AggregationPlanTests.cpp
@@ -54,12 +54,13 @@
   std::map<std::uint64_t, std::size_t> sizes;
   for (int self = 0; self < daemons; ++self) {
     const AggregationPlan plan = PlanOf(self, daemons, kDomains);
-    BOOST_REQUIRE(!plan.own.empty());
-    primaries[plan.group].insert(plan.own.front().key);
+    BOOST_REQUIRE(!plan.ownAggregators.empty());
+    primaries[plan.group].insert(plan.ownAggregators.front().key);
     ++sizes[plan.group];
-    BOOST_TEST(plan.members.size() < 2 * AggregationSettings{}.maximumGroupSize);
-    BOOST_TEST(plan.own.size() + plan.others.size() == plan.candidates.size());
-    BOOST_TEST(plan.daemons == daemons);
+    BOOST_TEST(plan.groupMembers.size() < 2 * AggregationSettings{}.maximumGroupSize);
+    BOOST_TEST(plan.ownAggregators.size() + plan.otherAggregators.size() ==
+               plan.allAggregators.size());
+    BOOST_TEST(plan.daemonCount == daemons);
   }
   for (const auto& [group, chosen] : primaries) {
     BOOST_TEST(chosen.size() == 1U);
@@ -71,8 +72,8 @@
 BOOST_AUTO_TEST_CASE(SingleGroupHasThreeAggregators)
 {
   const AggregationPlan plan = PlanOf(0, 8, 1);
-  BOOST_TEST(plan.own.size() == 3U);
-  BOOST_TEST(plan.others.empty());
+  BOOST_TEST(plan.ownAggregators.size() == 3U);
+  BOOST_TEST(plan.otherAggregators.empty());
 }
 
 BOOST_AUTO_TEST_CASE(LeavingDaemonIsNotAnAggregatorInItsOwnPlan)
@@ -91,7 +92,7 @@
   const AggregationPlan plan = MakeAggregationPlan(Daemon(0, 1), true, view, {});
   BOOST_TEST(!plan.IsAggregator(view.peers.at(2).key));
   BOOST_TEST(!plan.IsAggregator(view.peers.at(3).key));
-  BOOST_TEST(plan.daemons == 6);
+  BOOST_TEST(plan.daemonCount == 6);
 }
 
 /// Load pattern: a deployment starts, and some daemons know peers only by the seeds in their settings. Guards against
@@ -103,8 +104,8 @@
     peer.info.failureDomain.clear();
   }
   const AggregationPlan plan = MakeAggregationPlan(Daemon(0, 2), true, view, {});
-  BOOST_TEST(plan.others.empty());
-  BOOST_TEST(plan.daemons == 1);
+  BOOST_TEST(plan.otherAggregators.empty());
+  BOOST_TEST(plan.daemonCount == 1);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/UnitTests/Membership/DelayMeterTests.cpp
+++ b/UnitTests/Membership/DelayEstimatorTests.cpp
@@ -1,4 +1,4 @@
-#include "Lagoonward/Membership/DelayMeter.h"
+#include "Lagoonward/Membership/DelayEstimator.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -16,14 +16,14 @@
     return this->estimator.OnMessage(sentAt, TimePoint(this->now + aDelay));
   }
 
-  DelayMeter estimator;
+  DelayEstimator estimator;
   Milliseconds now{ 100'000 };
   Milliseconds offset{ 7'000'000 }; ///< The sender's clock is ahead by this.
 };
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(DelayMeterTests, Hosts)
+BOOST_FIXTURE_TEST_SUITE(DelayEstimatorTests, Hosts)
 
 BOOST_AUTO_TEST_CASE(EstimateIsTheDelayBeyondThatOfTheFastestMessage)
 {
--- a/UnitTests/Membership/LoadWatchTests.cpp
+++ b/UnitTests/Membership/EndpointMonitorTests.cpp
@@ -1,5 +1,5 @@
 #include "Lagoonward/Core/VirtualClock.h"
-#include "Lagoonward/Membership/LoadWatch.h"
+#include "Lagoonward/Membership/EndpointMonitor.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -43,12 +43,12 @@
   }
 
   VirtualClock clock;
-  LoadWatch monitor{ this->clock, 1, LoadWatchSettings() };
+  EndpointMonitor monitor{ this->clock, 1, EndpointMonitorSettings() };
 };
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(LoadWatchTests, Fixture)
+BOOST_FIXTURE_TEST_SUITE(EndpointMonitorTests, Fixture)
 
 BOOST_AUTO_TEST_CASE(EveryEndpointHasTwoPollersAndARemovedOneIsReplaced)
 {
@@ -56,10 +56,10 @@
   const auto countPollers = [&] {
     std::size_t count = 0;
     for (const PeerKey self : daemons) {
-      LoadWatch other(this->clock, self, LoadWatchSettings());
+      EndpointMonitor other(this->clock, self, EndpointMonitorSettings());
       other.SetEndpoints(MakeEndpoints(50));
       other.SetPollers(daemons);
-      count += other.WatchedCount();
+      count += other.PolledCount();
     }
     return count;
   };
@@ -94,7 +94,7 @@
 
 BOOST_AUTO_TEST_CASE(LoadIsDisseminatedWithItsAge)
 {
-  LoadWatch other(this->clock, 2, LoadWatchSettings());
+  EndpointMonitor other(this->clock, 2, EndpointMonitorSettings());
   other.SetEndpoints(MakeEndpoints(3));
   this->monitor.OnPolled("engine-1", this->Reading(7));
   this->clock.Advance(Milliseconds(300));
@@ -117,15 +117,15 @@
 
 BOOST_AUTO_TEST_CASE(OlderLoadDoesNotReplaceANewerOne)
 {
-  LoadFact newer{ ToEndpointKey("engine-0"), 1000, 0, 0, 5, 0, 1 };
-  LoadFact older{ ToEndpointKey("engine-0"), 900, 0, 0, 9, 0, 1 };
+  EndpointLoadUpdate newer{ ToEndpointKey("engine-0"), 1000, 0, 0, 5, 0, 1 };
+  EndpointLoadUpdate older{ ToEndpointKey("engine-0"), 900, 0, 0, 9, 0, 1 };
   BOOST_TEST(this->monitor.Merge(newer));
   BOOST_TEST(!this->monitor.Merge(older));
   BOOST_TEST(this->Fact("engine-0").load->running == 5);
 
   // The low 32 bits of the endpoint's clock wrap around
-  const LoadFact last{ ToEndpointKey("engine-1"), 0xfffffff0U, 0, 0, 1, 0, 1 };
-  const LoadFact wrapped{ ToEndpointKey("engine-1"), 5, 0, 0, 2, 0, 1 };
+  const EndpointLoadUpdate last{ ToEndpointKey("engine-1"), 0xfffffff0U, 0, 0, 1, 0, 1 };
+  const EndpointLoadUpdate wrapped{ ToEndpointKey("engine-1"), 5, 0, 0, 2, 0, 1 };
   BOOST_TEST(this->monitor.Merge(last));
   BOOST_TEST(this->monitor.Merge(wrapped));
 }
@@ -166,11 +166,11 @@
     }
     for (auto loads = this->monitor.TakeLoads(kRoom, 2); !loads.empty();
          loads = this->monitor.TakeLoads(kRoom, 2)) {
-      bytes += 2 * loads.size() * kLoadFactBytes;
+      bytes += 2 * loads.size() * kEndpointLoadUpdateBytes;
     }
   }
-  BOOST_TEST(bytes <= 11 * LoadWatchSettings().loadBytesPerSecond);
-  BOOST_TEST(bytes >= 9 * LoadWatchSettings().loadBytesPerSecond);
+  BOOST_TEST(bytes <= 11 * EndpointMonitorSettings().loadBytesPerSecond);
+  BOOST_TEST(bytes >= 9 * EndpointMonitorSettings().loadBytesPerSecond);
 }
 
 BOOST_AUTO_TEST_CASE(LeavingIsFinalAndAcceptedBeforeTheHostListNamesTheEndpoint)
@@ -180,8 +180,8 @@
   const auto states = this->monitor.TakeStates(10);
   BOOST_TEST_REQUIRE(states.size() == 1U);
   BOOST_TEST(states[0].graceLeft == 30000U);
-  BOOST_TEST(
-    !this->monitor.Merge(StateFact{ ToEndpointKey("engine-0"), EndpointState::Live, 99, 0 }));
+  BOOST_TEST(!this->monitor.Merge(
+    EndpointStateUpdate{ ToEndpointKey("engine-0"), EndpointState::Live, 99, 0 }));
   BOOST_TEST((this->Fact("engine-0").state == EndpointState::Leaving));
 
   // Not listed yet: disseminated, and applied once the list names the endpoint
@@ -194,7 +194,7 @@
 BOOST_AUTO_TEST_CASE(UpdateOfAnUnlistedEndpointIsNotDisseminated)
 {
   BOOST_TEST(this->monitor.Report("engine-0", EndpointState::Leaving, Seconds(30)));
-  const StateFact fact = this->monitor.TakeStates(1).front();
+  const EndpointStateUpdate fact = this->monitor.TakeStates(1).front();
   this->monitor.SetEndpoints({});
   BOOST_TEST(!this->monitor.Merge(fact));
   BOOST_TEST(this->monitor.TakeStates(10).empty());
@@ -219,19 +219,19 @@
     this->clock.Advance(Seconds(1));
     this->monitor.OnPolled("engine-0", refused);
     const auto asOf = static_cast<std::uint32_t>(1000 + round);
-    this->monitor.Merge(LoadFact{ ToEndpointKey("engine-0"), asOf, 0, 0, 1, 0, 1 });
+    this->monitor.Merge(EndpointLoadUpdate{ ToEndpointKey("engine-0"), asOf, 0, 0, 1, 0, 1 });
   }
   BOOST_TEST((this->Fact("engine-0").state == EndpointState::Live));
 }
 
 BOOST_AUTO_TEST_CASE(DigestsAreEqualIfAndOnlyIfStatesAre)
 {
-  LoadWatch other(this->clock, 2, LoadWatchSettings());
+  EndpointMonitor other(this->clock, 2, EndpointMonitorSettings());
   other.SetEndpoints(MakeEndpoints(3));
   BOOST_TEST(this->monitor.StateDigest() == other.StateDigest());
   this->monitor.Report("engine-2", EndpointState::Leaving, Seconds(5));
   BOOST_TEST(this->monitor.StateDigest() != other.StateDigest());
-  for (const StateFact& fact : this->monitor.AllStates()) {
+  for (const EndpointStateUpdate& fact : this->monitor.AllStates()) {
     other.Merge(fact);
   }
   BOOST_TEST(this->monitor.StateDigest() == other.StateDigest());
--- a/UnitTests/Membership/FrameCodecTests.cpp
+++ b/UnitTests/Membership/FrameCodecTests.cpp
@@ -69,15 +69,15 @@
   BOOST_TEST(SealDatagram(keys, kReceiver, {}, datagram).size() == kDatagramOverhead);
   datagram.loads.resize(1);
   BOOST_TEST(SealDatagram(keys, kReceiver, {}, datagram).size() ==
-             kDatagramOverhead + kLoadFactBytes);
+             kDatagramOverhead + kEndpointLoadUpdateBytes);
   datagram.loads.clear();
   datagram.states.resize(1);
   BOOST_TEST(SealDatagram(keys, kReceiver, {}, datagram).size() ==
-             kDatagramOverhead + kStateFactBytes);
+             kDatagramOverhead + kEndpointStateUpdateBytes);
   datagram.states.clear();
   datagram.versions.resize(1);
   BOOST_TEST(SealDatagram(keys, kReceiver, {}, datagram).size() ==
-             kDatagramOverhead + kVersionNoteBytes);
+             kDatagramOverhead + kVersionAnnouncementBytes);
 }
 
 BOOST_AUTO_TEST_CASE(AnyChangedByteIsRejected)
--- a/UnitTests/Membership/HostListShareTests.cpp
+++ b/UnitTests/Membership/HostListDistributionTests.cpp
@@ -1,5 +1,5 @@
 #include "Lagoonward/Core/VirtualClock.h"
-#include "Lagoonward/Membership/HostListShare.h"
+#include "Lagoonward/Membership/HostListDistribution.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -28,19 +28,19 @@
 struct Fixture
 {
   VirtualClock clock;
-  HostListShare distribution{ this->clock, "here", HostListSettings() };
+  HostListDistribution distribution{ this->clock, "here", HostListSettings() };
 };
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(HostListShareTests, Fixture)
+BOOST_FIXTURE_TEST_SUITE(HostListDistributionTests, Fixture)
 
 BOOST_AUTO_TEST_CASE(SharedListOmitsEndpointsOfOtherRegions)
 {
   const auto state = this->distribution.OnRead(MakeHosts());
   BOOST_TEST_REQUIRE(state.has_value());
   BOOST_TEST(state->IsRegional());
-  HostListShare other(this->clock, "here", HostListSettings());
+  HostListDistribution other(this->clock, "here", HostListSettings());
   const auto hosts = other.ApplyShared(*state);
   BOOST_TEST_REQUIRE(hosts.has_value());
   BOOST_TEST(hosts.value().size() == 4U);
@@ -63,7 +63,7 @@
 
 BOOST_AUTO_TEST_CASE(ReaderWithAnOlderListDoesNotReplaceANewerSharedList)
 {
-  HostListShare ahead(this->clock, "here", HostListSettings());
+  HostListDistribution ahead(this->clock, "here", HostListSettings());
   const auto old = MakeHosts();
   auto next = old;
   next.push_back(MakeHost("engine-9", HostEntry::Kind::Engine, "here"));
--- a/UnitTests/Membership/HostListPaceTests.cpp
+++ b/UnitTests/Membership/HostListPollIntervalTests.cpp
@@ -1,15 +1,15 @@
-#include "Lagoonward/Membership/HostListPace.h"
+#include "Lagoonward/Membership/HostListPollInterval.h"
 
 #include <boost/test/unit_test.hpp>
 
 using namespace lagoonward;
 
-BOOST_AUTO_TEST_SUITE(HostListPaceTests)
+BOOST_AUTO_TEST_SUITE(HostListPollIntervalTests)
 
 BOOST_AUTO_TEST_CASE(PollIntervalGrowsWithTheListAndIsLongerForNonReaders)
 {
   const TimePoint start{};
-  HostListPace interval{ HostListSettings() };
+  HostListPollInterval interval{ HostListSettings() };
   BOOST_TEST(interval.IsDue(start, true));
   BOOST_TEST(interval.IsDue(start, false));
   interval.OnRead(start, 24);
--- a/UnitTests/Membership/KeeperPlanTests.cpp
+++ b/UnitTests/Membership/KeyOwnerPlanTests.cpp
@@ -1,4 +1,4 @@
-#include "Lagoonward/Membership/KeeperPlan.h"
+#include "Lagoonward/Membership/KeyOwnerPlan.h"
 
 #include <boost/test/data/monomorphic.hpp>
 #include <boost/test/data/test_case.hpp>
@@ -43,7 +43,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(KeeperPlanTests)
+BOOST_AUTO_TEST_SUITE(KeyOwnerPlanTests)
 
 BOOST_DATA_TEST_CASE(AllDaemonsAgreeOnTwoOwnersInTwoFailureDomains,
                      boost::unit_test::data::make({ 2, 6, 100 }), daemons)
@@ -55,8 +55,8 @@
   for (int client = 0; client < 20; ++client) {
     std::set<std::pair<PeerKey, PeerKey>> seen;
     for (int self = 0; self < daemons; ++self) {
-      KeeperPlan plan(Daemon(self), true, ViewOf(self, daemons));
-      const Keepers& owners = plan.KeepersOf(Client(client));
+      KeyOwnerPlan plan(Daemon(self), true, ViewOf(self, daemons));
+      const KeyOwners& owners = plan.OwnersOf(Client(client));
       BOOST_REQUIRE(owners.primary && owners.backup);
       seen.emplace(owners.primary->key, owners.backup->key);
       BOOST_TEST(domains[owners.primary->key] != domains[owners.backup->key]);
@@ -69,14 +69,14 @@
 {
   constexpr int kDaemons = 20;
   constexpr int kClients = 400;
-  KeeperPlan before(Daemon(0), true, ViewOf(0, kDaemons));
-  KeeperPlan after(Daemon(0), true, ViewOf(0, kDaemons + 1));
+  KeyOwnerPlan before(Daemon(0), true, ViewOf(0, kDaemons));
+  KeyOwnerPlan after(Daemon(0), true, ViewOf(0, kDaemons + 1));
   std::map<PeerKey, int> counts;
   int moved = 0;
   for (int client = 0; client < kClients; ++client) {
-    const PeerKey primary = before.KeepersOf(Client(client)).primary->key;
+    const PeerKey primary = before.OwnersOf(Client(client)).primary->key;
     ++counts[primary];
-    moved += after.KeepersOf(Client(client)).primary->key == primary ? 0 : 1;
+    moved += after.OwnersOf(Client(client)).primary->key == primary ? 0 : 1;
   }
   BOOST_TEST(counts.size() == static_cast<std::size_t>(kDaemons));
   BOOST_TEST(moved <= 3 * kClients / kDaemons);
@@ -87,11 +87,11 @@
   PeerView view = ViewOf(0, 3);
   view.peers[0].state = PeerState::Leaving;
   view.peers[1].info.failureDomain.clear();
-  KeeperPlan plan(Daemon(0), true, view);
-  BOOST_TEST(plan.KeepersOf(Client(0)).primary->key == Daemon(0).Key());
-  BOOST_TEST(!plan.KeepersOf(Client(0)).backup.has_value());
-  KeeperPlan leaving(Daemon(0), false, view);
-  BOOST_TEST(!leaving.KeepersOf(Client(0)).primary.has_value());
+  KeyOwnerPlan plan(Daemon(0), true, view);
+  BOOST_TEST(plan.OwnersOf(Client(0)).primary->key == Daemon(0).Key());
+  BOOST_TEST(!plan.OwnersOf(Client(0)).backup.has_value());
+  KeyOwnerPlan leaving(Daemon(0), false, view);
+  BOOST_TEST(!leaving.OwnersOf(Client(0)).primary.has_value());
 }
 
 BOOST_AUTO_TEST_CASE(BackupIsInTheSameFailureDomainIfThereIsNoOther)
@@ -99,8 +99,8 @@
   PeerView view;
   const PeerInfo near = Daemon(kDomains);
   view.peers.push_back({ near, near.Key(), PeerState::Alive, 1 });
-  KeeperPlan plan(Daemon(0), true, view);
-  BOOST_TEST(plan.KeepersOf(Client(0)).backup.has_value());
+  KeyOwnerPlan plan(Daemon(0), true, view);
+  BOOST_TEST(plan.OwnersOf(Client(0)).backup.has_value());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/UnitTests/Membership/MembershipServiceTests.cpp
+++ b/UnitTests/Membership/MembershipServiceTests.cpp
@@ -176,7 +176,7 @@
   BOOST_TEST(this->AllEventually([&](const MembershipService& aDaemon) {
     std::size_t readers = 0;
     for (const auto& daemon : this->daemons) {
-      if (daemon->ReadsHostList()) {
+      if (daemon->IsHostListReader()) {
         ++readers;
         daemon->ApplyHostList(list);
       }
--- a/UnitTests/Membership/PeerTableTests.cpp
+++ b/UnitTests/Membership/PeerTableTests.cpp
@@ -51,7 +51,7 @@
       this->clock.Advance(kTick);
       for (auto& [key, table] : this->tables) {
         if (!this->stopped.contains(key)) {
-          for (const ProbeOrder& order : table->Tick()) {
+          for (const ScheduledProbe& order : table->Tick()) {
             this->Probe(key, order);
           }
         }
@@ -85,7 +85,7 @@
     for (const PeerChange& change : from.TakeChanges(aTo, kByteBudget)) {
       to.Apply(change);
     }
-    to.OnHeard(aFrom, from.Incarnation(), from.OwnState());
+    to.OnContact(aFrom, from.Incarnation(), from.OwnState());
     return true;
   }
 
@@ -94,7 +94,7 @@
     return this->Deliver(aFrom, aTo) && this->Deliver(aTo, aFrom);
   }
 
-  void Probe(PeerKey aFrom, const ProbeOrder& aOrder)
+  void Probe(PeerKey aFrom, const ScheduledProbe& aOrder)
   {
     if (aOrder.kind == DatagramKind::Ping) {
       this->PingAndAck(aFrom, aOrder.to);
@@ -277,7 +277,7 @@
   PeerTable& table = network.Table(DaemonId(0));
   network.clock.Advance(Seconds(60));
   std::ignore = table.Tick();
-  table.OnHeard(ToPeerKey(DaemonId(1)));
+  table.OnContact(ToPeerKey(DaemonId(1)));
   network.clock.Advance(Milliseconds(100));
   std::ignore = table.Tick();
   for (std::size_t subject = 1; subject < 6; ++subject) {
--- a/UnitTests/Membership/PeerTransportTests.cpp
+++ b/UnitTests/Membership/PeerTransportTests.cpp
@@ -104,7 +104,7 @@
   Node server(2);
   std::thread worker;
   server.transport.OnRequest(RequestType::Claim, [&](PeerKey aSender, std::string_view aBytes,
-                                                     const PeerTransport::Respond& aRespond) {
+                                                     const PeerTransport::Responder& aRespond) {
     worker = std::thread(
       [aRespond, response = std::to_string(aSender) + std::string(aBytes)] { aRespond(response); });
   });
@@ -127,7 +127,7 @@
   Node requester(1);
   Node server(2);
   server.transport.OnRequest(RequestType::Claim, [](PeerKey, std::string_view aBytes,
-                                                    const PeerTransport::Respond& aRespond) {
+                                                    const PeerTransport::Responder& aRespond) {
     aRespond(std::string(aBytes));
   });
   requester.Start();
@@ -141,10 +141,10 @@
 {
   Node requester(1);
   Node server(2);
-  server.transport.OnRequest(RequestType::Claim,
-                             [](PeerKey, std::string_view, const PeerTransport::Respond& aRespond) {
-                               aRespond(Error(ErrorKind::NotLeader, "someone else"));
-                             });
+  server.transport.OnRequest(
+    RequestType::Claim, [](PeerKey, std::string_view, const PeerTransport::Responder& aRespond) {
+      aRespond(Error(ErrorKind::NotLeader, "someone else"));
+    });
   requester.Start();
   server.Start();
   const auto response = requester.SendRequest(server.Address(), "x");
@@ -159,7 +159,7 @@
   Node server(2);
   std::atomic<int> requests{ 0 };
   server.transport.OnRequest(
-    RequestType::Claim, [&](PeerKey, std::string_view, const PeerTransport::Respond& aRespond) {
+    RequestType::Claim, [&](PeerKey, std::string_view, const PeerTransport::Responder& aRespond) {
       // The first request gets no response, as if the network had dropped the connection silently
       if (++requests > 1) {
         aRespond(std::string("answered"));
@@ -227,7 +227,7 @@
   std::atomic<int> requests{ 0 };
   server.transport.OnRequest(
     RequestType::Claim,
-    [&](PeerKey, std::string_view, const PeerTransport::Respond&) { ++requests; });
+    [&](PeerKey, std::string_view, const PeerTransport::Responder&) { ++requests; });
   server.Start();
   const auto isDisconnected = [&](const std::string& aBytes) {
     UniqueFd socket = BeginConnect("127.0.0.1", server.transport.Port()).value();
--- a/UnitTests/Membership/SharedStatesTests.cpp
+++ b/UnitTests/Membership/SharedStatesTests.cpp
@@ -23,7 +23,7 @@
   const std::uint64_t before = states.Digest(true);
   BOOST_TEST(!states.Adopt({ "config/a", 5, "bad" }));
   BOOST_TEST(states.Digest(true) == before);
-  BOOST_TEST(states.IsNews({ SharedState{ "config/a", 0, "" }.Topic(), 1 }));
+  BOOST_TEST(states.IsNewer({ SharedState{ "config/a", 0, "" }.Topic(), 1 }));
 }
 
 BOOST_AUTO_TEST_CASE(DigestDependsOnVersionsButNotOnTheirOrder)
--- a/UnitTests/Metering/UsageTests.cpp
+++ b/UnitTests/Metering/UsageTests.cpp
@@ -1,5 +1,5 @@
 #include "Lagoonward/Core/VirtualClock.h"
-#include "Lagoonward/Metering/UsageBook.h"
+#include "Lagoonward/Metering/UsageAccumulator.h"
 #include "Lagoonward/Metering/UsageRecord.h"
 
 #include <boost/test/unit_test.hpp>
@@ -29,9 +29,9 @@
   JumpingClock clock;
   UsageCounter counter(Seconds(5), clock);
   const std::int64_t first = counter.CurrentWindow();
-  counter.OnBegan("a");
+  counter.OnStarted("a");
   clock.jump = Milliseconds(7000);
-  counter.OnBegan("a");
+  counter.OnStarted("a");
   BOOST_TEST(counter.CurrentWindow() == first);
   BOOST_TEST(counter.Read().at(first).at("a") == 2);
   clock.steady.Suspend(Seconds(5));
@@ -43,16 +43,16 @@
   VirtualClock clock;
   UsageCounter counter(Seconds(5), clock);
   const std::int64_t first = counter.CurrentWindow();
-  counter.OnBegan("a");
+  counter.OnStarted("a");
   clock.Advance(Seconds(60));
-  counter.OnBegan("a");
+  counter.OnStarted("a");
   BOOST_TEST(!counter.Read().contains(first));
 }
 
 BOOST_AUTO_TEST_CASE(SumsRunsAndIgnoresRepeatedAndLateMessages)
 {
   VirtualClock clock;
-  UsageBook accumulator({}, clock);
+  UsageAccumulator accumulator({}, clock);
   accumulator.OnCounts(1, { { 7, { { "a", 3 } } } });
   accumulator.OnCounts(1, { { 7, { { "a", 5 } } } });
   // An older message that arrives late does not reduce the count
@@ -67,7 +67,7 @@
 BOOST_AUTO_TEST_CASE(WindowIsDueOnceAllLiveDaemonsHaveReported)
 {
   VirtualClock clock;
-  UsageBook accumulator({}, clock);
+  UsageAccumulator accumulator({}, clock);
   accumulator.OnCounts(1, {});
   accumulator.OnCounts(2, {});
   clock.Advance(Milliseconds(2000));
@@ -95,7 +95,7 @@
   // A record that is read again, as after a lost reply, is ignored
   ledger.Apply(0, WriteUsageRecord({ 8, { { "a", 1 } } }));
   BOOST_TEST(ledger.Find(8) == nullptr);
-  ledger.Forget(8);
+  ledger.EvictBefore(8);
   BOOST_TEST(ledger.Find(7) == nullptr);
 }
 
--- a/UnitTests/Placement/DemandSizingTests.cpp
+++ b/UnitTests/Placement/DemandSizingTests.cpp
@@ -1,5 +1,5 @@
 #include "Lagoonward/Core/VirtualClock.h"
-#include "Lagoonward/Placement/DemandBook.h"
+#include "Lagoonward/Placement/DemandAccumulator.h"
 #include "Lagoonward/Placement/DemandSizing.h"
 
 #include <boost/test/unit_test.hpp>
@@ -12,10 +12,10 @@
 
 using Live = std::map<std::string, DomainCount>;
 
-const SizingTerms kConstraints{ 1,
-                                6,
-                                Milliseconds(4000),
-                                { { "a", 1.0 }, { "b", 0.8 }, { "c", 1.25 } } };
+const SizingConstraints kConstraints{ 1,
+                                      6,
+                                      Milliseconds(4000),
+                                      { { "a", 1.0 }, { "b", 0.8 }, { "c", 1.25 } } };
 
 /// A sizing that has observed its initial fleet and a steady load.
 DemandSizing
@@ -100,7 +100,7 @@
 BOOST_AUTO_TEST_CASE(LiveReclaimableEndpointsCountInDomainsWithoutFurtherCapacity)
 {
   VirtualClock clock;
-  const SizingTerms large{ 1, 60, Milliseconds(4000), { { "a", 1.0 }, { "b", 1.0 } } };
+  const SizingConstraints large{ 1, 60, Milliseconds(4000), { { "a", 1.0 }, { "b", 1.0 } } };
   const Live steady{ { "a", { 0, 25 } }, { "b", { 0, 25 } } };
   DemandSizing sizing({ .utilization = 0.5, .maximumUtilization = 0.65 }, clock);
   static_cast<void>(sizing.Plan(large, steady));
@@ -129,7 +129,7 @@
 BOOST_AUTO_TEST_CASE(SurplusIsKeptUntilReplacementsInOtherDomainsAreLive)
 {
   VirtualClock clock;
-  const SizingTerms large{ 1, 60, Milliseconds(4000), { { "a", 1.0 }, { "b", 1.0 } } };
+  const SizingConstraints large{ 1, 60, Milliseconds(4000), { { "a", 1.0 }, { "b", 1.0 } } };
   const Live uneven{ { "a", { 0, 10 } }, { "b", { 0, 40 } } };
   DemandSizing sizing({}, clock);
   static_cast<void>(sizing.Plan(large, uneven));
@@ -181,7 +181,7 @@
 BOOST_AUTO_TEST_CASE(SmallChangeIsNotOrderedUntilTheLastOrderIsSettled)
 {
   VirtualClock clock;
-  const SizingTerms large{ 1, 60, Milliseconds(4000), { { "a", 1.0 }, { "b", 1.0 } } };
+  const SizingConstraints large{ 1, 60, Milliseconds(4000), { { "a", 1.0 }, { "b", 1.0 } } };
   const Live live{ { "a", { 0, 26 } }, { "b", { 0, 25 } } };
   DemandSizing sizing({}, clock);
   static_cast<void>(sizing.Plan(large, live));
@@ -199,7 +199,7 @@
 BOOST_AUTO_TEST_CASE(RatesSumTheWorkOfAllDaemons)
 {
   VirtualClock clock;
-  DemandBook demand(Seconds(3), clock);
+  DemandAccumulator demand(Seconds(3), clock);
   for (int message = 0; message <= 60; ++message) {
     demand.OnTotals(1, { { "s", { message * 0.5 } } });
     demand.OnTotals(2, { { "s", { message * 1.0 } } });
--- a/UnitTests/Placement/PlacementTests.cpp
+++ b/UnitTests/Placement/PlacementTests.cpp
@@ -32,7 +32,7 @@
       this->fleet.prices.push_back({ "large", domain, true, 1.0 });
       this->fleet.prices.push_back({ "large", domain, false, 3.0 });
     }
-    this->clock.Advance(this->settings.settle);
+    this->clock.Advance(this->settings.settleTime);
   }
 
   Endpoint& AddEngine(const std::string& aDomain)
@@ -134,7 +134,7 @@
   this->clock.Advance(Seconds(5));
   BOOST_TEST(Round().front().id == first.front().id);
   Placement successor(this->settings, "utslipp", "vestland", this->clock.Now());
-  this->clock.Advance(this->settings.settle);
+  this->clock.Advance(this->settings.settleTime);
   const PlacementView view{ this->manifest, 7, this->fleet, {}, {} };
   const auto again = successor.Reconcile(view, this->clock.Now(), this->clock.WallNow());
   BOOST_TEST(again.front().id == first.front().id);
--- a/UnitTests/Reclaim/MovePlannerTests.cpp
+++ b/UnitTests/Reclaim/MovePlannerTests.cpp
@@ -24,7 +24,7 @@
     StreamView stream;
     stream.id = aId;
     stream.endpoint = "old";
-    stream.goneAfter = this->clock.Now() + kGrace;
+    stream.availableUntil = this->clock.Now() + kGrace;
     stream.promptTokens = 8'000;
     stream.generatedTokens = 200;
     stream.expectedRemaining = aRemaining;
@@ -73,7 +73,7 @@
   const MovePlan plan = Plan()[0];
   BOOST_TEST((plan.kind == MoveKind::ExportImport));
   BOOST_TEST(plan.recomputedTokens < 100);
-  BOOST_TEST((plan.readyAt <= stream.goneAfter));
+  BOOST_TEST((plan.readyAt <= stream.availableUntil));
 }
 
 BOOST_AUTO_TEST_CASE(StreamIsReprefilledIfExportCannotEndInTime)
@@ -84,7 +84,7 @@
   stream.exportBytesPerSecond = 1e9;
   const MovePlan plan = Plan()[0];
   BOOST_TEST((plan.kind == MoveKind::Reprefill));
-  BOOST_TEST((plan.startAt <= stream.goneAfter - ReclaimSettings().safetyMargin));
+  BOOST_TEST((plan.startAt <= stream.availableUntil - ReclaimSettings().safetyMargin));
   BOOST_TEST((plan.startAt > this->clock.Now()));
 }
 
@@ -101,7 +101,7 @@
   AddTarget("a");
   AddTarget("b");
   AddStream("s", 5'000).candidates[0].cachedTokens = 8'000;
-  this->targets[0].domainGoing = true;
+  this->targets[0].domainLeaving = true;
   this->targets[1].leaving = true;
   BOOST_TEST((Plan()[0].kind == MoveKind::Unplaced));
   this->targets[1].leaving = false;
@@ -144,7 +144,7 @@
   const TimePoint now = this->clock.Now();
   stream.inProgress = { MoveKind::ExportImport, "a", now, now + Seconds(2) };
   BOOST_TEST(Plan()[0].target == "a");
-  this->targets[0].domainGoing = true;
+  this->targets[0].domainLeaving = true;
   BOOST_TEST(Plan()[0].target == "b");
 }
 
@@ -152,7 +152,7 @@
 {
   AddTarget("a");
   StreamView& stream = AddStream("s", 5'000);
-  stream.goneAfter = this->clock.Now() - Seconds(1);
+  stream.availableUntil = this->clock.Now() - Seconds(1);
   stream.kvBytes = 1'000;
   stream.exportBytesPerSecond = 1e9;
   const MovePlan plan = Plan()[0];
--- a/UnitTests/Relay/RelayRoutesTests.cpp
+++ b/UnitTests/Relay/RelayRoutesTests.cpp
@@ -52,7 +52,7 @@
   int second = 0;
   constexpr std::uint64_t kDraws = 1000;
   for (std::uint64_t draw = 0; draw < kDraws; ++draw) {
-    second += route.ServiceFor(draw * (UINT64_MAX / kDraws)) == "second" ? 1 : 0;
+    second += route.SelectService(draw * (UINT64_MAX / kDraws)) == "second" ? 1 : 0;
   }
   // The draws are evenly spaced except for the rounding of their distance
   BOOST_TEST(second >= 99);
--- a/UnitTests/Relay/RelayServiceTests.cpp
+++ b/UnitTests/Relay/RelayServiceTests.cpp
@@ -32,10 +32,11 @@
 struct TestDialect
 {
   [[nodiscard]] std::vector<std::string> WriteHeaders(const RelayCall& aCall,
-                                                      const SendTerms& aTerms) const
+                                                      const SendOptions& aTerms) const
   {
     return { "Id: " + aCall.id, fmt::format("Endpoint: {}", aTerms.endpointId),
-             fmt::format("After: {}", aTerms.lastEventId), fmt::format("Copy: {}", aTerms.copy) };
+             fmt::format("After: {}", aTerms.lastEventId),
+             fmt::format("Copy: {}", aTerms.stateHandle) };
   }
 
   [[nodiscard]] EndpointHead ReadHead(const RelayCall& aCall, int aStatus,
@@ -44,23 +45,23 @@
     EndpointHead head;
     head.status = aStatus;
     for (const auto& [name, value] : aHeaders) {
-      head.belongs = head.belongs || (name == "Id" && value == aCall.id);
-      head.genuine = head.genuine || name == "Mark";
+      head.matchesRequest = head.matchesRequest || (name == "Id" && value == aCall.id);
+      head.isMarked = head.isMarked || name == "Mark";
       head.notRun = head.notRun || name == "Not-Run";
       head.streamsEvents = head.streamsEvents || value == "text/event-stream";
       if (name == "Limit") {
-        head.limit = { LimitStatement::Kind::Limited, std::stod(value) };
+        head.limit = { AdvertisedLimit::Kind::Limited, std::stod(value) };
       }
     }
     return head;
   }
 
-  [[nodiscard]] MoveOrder WriteMove(const RelayCall& aCall, std::string_view aDestination) const
+  [[nodiscard]] MoveRequest WriteMove(const RelayCall& aCall, std::string_view aDestination) const
   {
     return { "/move", fmt::format("{} {}", aCall.id, aDestination) };
   }
 
-  [[nodiscard]] MoveEnd ReadMove(int aStatus, const std::string& aBody) const
+  [[nodiscard]] MoveResult ReadMove(int aStatus, const std::string& aBody) const
   {
     return { aStatus == 200, aBody, {} };
   }
@@ -89,14 +90,14 @@
     {
     }
 
-    void Answer(RelayReply aReply) override
+    void SendResponse(RelayReply aReply) override
     {
       this->owner.Change([&](Received& aReceived) {
         aReceived.reply = std::move(aReply);
         aReceived.ended = true;
       });
     }
-    void Refuse(const Error& aError) override
+    void SendError(const Error& aError) override
     {
       this->owner.Change([&](Received& aReceived) {
         aReceived.error = aError;
@@ -119,7 +120,7 @@
     {
       this->owner.Change([](Received& aReceived) { aReceived.aborted = aReceived.ended = true; });
     }
-    [[nodiscard]] bool IsGone() override { return this->owner.disconnected; }
+    [[nodiscard]] bool IsDisconnected() override { return this->owner.disconnected; }
 
   private:
     TestCaller& owner;
@@ -161,14 +162,14 @@
     }
     this->sendsWithDemand += aWork.calls + aWork.outputTokens > 0 ? 1 : 0;
   }
-  void OnBegan(const RelayCall&) override { ++this->started; }
+  void OnStarted(const RelayCall&) override { ++this->started; }
   void OnAttemptFailed(const RelayCall&, const FailedAttempt&) override {}
   void OnMoved(const RelayCall&, std::string_view, std::string_view, bool aMoved,
                std::string_view) override
   {
     this->moved += aMoved ? 1 : 0;
   }
-  void OnEnded(const RelayCall&, const RelayEnd&) override { ++this->ended; }
+  void OnEnded(const RelayCall&, const RelayResult&) override { ++this->ended; }
 
   std::function<void(std::string_view aEndpoint, int aSend)> onSent; ///< Called on the loop.
   std::atomic<int> sent{ 0 };
@@ -231,7 +232,7 @@
   {
     auto snapshot = std::make_shared<FleetSnapshot>(*this->fleet.Get());
     for (Endpoint& endpoint : snapshot->endpoints) {
-      endpoint.born += endpoint.port == aPort ? 1 : 0;
+      endpoint.incarnation += endpoint.port == aPort ? 1 : 0;
     }
     this->fleet.Publish(snapshot);
     this->market.ApplyFleet(*snapshot);
@@ -262,8 +263,8 @@
     route.resumable = aResumable;
     route.attempts = 2;
     route.timeout = aTimeout;
-    route.firstEvent = Milliseconds(1000);
-    route.betweenEvents = Milliseconds(200);
+    route.firstEventTarget = Milliseconds(1000);
+    route.eventIntervalTarget = Milliseconds(200);
     route.services = { { "s", 1 } };
     RelayCall call;
     call.id = "r1";
@@ -285,7 +286,7 @@
   Market market;
   FleetStore fleet;
   CountingObserver observer;
-  RelayService service{ {}, LanguageOf(TestDialect()), market, fleet, observer, clock };
+  RelayService service{ {}, MakeAnyEndpointDialect(TestDialect()), market, fleet, observer, clock };
 };
 
 constexpr std::string_view kAccount = "account";
@@ -294,7 +295,7 @@
 struct LimitedRelayFixture
 {
   /// Grants or refuses tokens when the test says so.
-  class FakeTokenSource final : public LimitLender
+  class FakeTokenSource final : public LimitTokenSource
   {
   public:
     explicit FakeTokenSource(LimitedRelayFixture& aOwner)
@@ -302,7 +303,7 @@
     {
     }
 
-    void Borrow(const LoanRequest& aRequest, std::function<void()> aOnSettled) override
+    void RequestTokens(const LimitTokenRequest& aRequest, std::function<void()> aOnSettled) override
     {
       const std::lock_guard lock(this->mutex);
       this->request = aRequest;
@@ -311,12 +312,12 @@
     }
 
     /// Waits for a request for tokens and replies to it.
-    void Reply(const std::function<Loan(const LoanRequest&)>& aMakeLoan)
+    void Reply(const std::function<LimitTokenGrant(const LimitTokenRequest&)>& aMakeGrant)
     {
       std::unique_lock lock(this->mutex);
       BOOST_TEST_REQUIRE(this->requestArrived.wait_for(
         lock, Seconds(10), [this] { return this->onSettled != nullptr; }));
-      this->owner.relay.market.admission.OnLoan(this->request, aMakeLoan(this->request));
+      this->owner.relay.market.admission.OnTokenGrant(this->request, aMakeGrant(this->request));
       std::exchange(this->onSettled, nullptr)();
     }
 
@@ -324,15 +325,15 @@
     LimitedRelayFixture& owner;
     std::mutex mutex;
     std::condition_variable requestArrived;
-    LoanRequest request;
+    LimitTokenRequest request;
     std::function<void()> onSettled;
   };
 
   LimitedRelayFixture()
   {
-    this->relay.market.admission.SetReserves([](std::uint64_t) { return ReserveRole::None; });
-    this->relay.market.admission.SetDaemons(10);
-    this->relay.service.SetLender(this->tokenSource);
+    this->relay.market.admission.SetReserveRoles([](std::uint64_t) { return ReserveRole::None; });
+    this->relay.market.admission.SetDaemonCount(10);
+    this->relay.service.SetTokenSource(this->tokenSource);
   }
 
   static MarketSettings PooledSettings()
@@ -408,7 +409,7 @@
   if (!IsCrashing(aRequest)) {
     return Send(MakeResponse("hi"));
   }
-  return { { Kind::Send, kStreamHead }, { Kind::Die } };
+  return { { Kind::Send, kStreamHead }, { Kind::ResetAndStopListening } };
 }
 
 /// Endpoints that stay down after a request with kCrashingBody.
@@ -462,13 +463,17 @@
   TestCaller caller;
   limited.relay.Submit(caller, RelayKind::NonIdempotent, false, Seconds(5), std::string(kAccount),
                        400);
-  limited.tokenSource.Reply([](const LoanRequest& aRequest) { return Loan{ aRequest.need, 0 }; });
+  limited.tokenSource.Reply([](const LimitTokenRequest& aRequest) {
+    return LimitTokenGrant{ aRequest.neededTokens, 0 };
+  });
   BOOST_TEST(caller.Wait().reply.has_value());
   // Small requests succeed: one after a grant of the wanted amount, the next from the tokens left over from it
   TestCaller small;
   limited.relay.Submit(small, RelayKind::NonIdempotent, false, Seconds(5), std::string(kAccount),
                        1);
-  limited.tokenSource.Reply([](const LoanRequest& aRequest) { return Loan{ aRequest.want, 0 }; });
+  limited.tokenSource.Reply([](const LimitTokenRequest& aRequest) {
+    return LimitTokenGrant{ aRequest.preferredTokens, 0 };
+  });
   BOOST_TEST(small.Wait().reply.has_value());
   TestCaller next;
   limited.relay.Submit(next, RelayKind::NonIdempotent, false, Seconds(5), std::string(kAccount),
@@ -482,7 +487,7 @@
   TestCaller caller;
   limited.relay.Submit(caller, RelayKind::NonIdempotent, false, Seconds(5), std::string(kAccount),
                        400);
-  limited.tokenSource.Reply([](const LoanRequest&) { return Loan{ 0, 3 }; });
+  limited.tokenSource.Reply([](const LimitTokenRequest&) { return LimitTokenGrant{ 0, 3 }; });
   const Received refused = caller.Wait();
   BOOST_REQUIRE(refused.error.has_value());
   BOOST_TEST((refused.error->kind == ErrorKind::ClientOverLimit));
@@ -770,10 +775,11 @@
   }
   caller.disconnected = true;
   const auto disconnectedAt = std::chrono::steady_clock::now();
-  while (slow.Abandoned() == 0 && std::chrono::steady_clock::now() - disconnectedAt < Seconds(5)) {
+  while (slow.AbandonedScripts() == 0 &&
+         std::chrono::steady_clock::now() - disconnectedAt < Seconds(5)) {
     std::this_thread::sleep_for(Milliseconds(5));
   }
-  BOOST_TEST(slow.Abandoned() == 1);
+  BOOST_TEST(slow.AbandonedScripts() == 1);
   BOOST_TEST(caller.Wait().aborted);
 }
 
--- a/UnitTests/Routing/InFlightBookTests.cpp
+++ b/UnitTests/Routing/InFlightTableTests.cpp
@@ -1,16 +1,16 @@
 #include "Lagoonward/Core/VirtualClock.h"
-#include "Lagoonward/Routing/InFlightBook.h"
+#include "Lagoonward/Routing/InFlightTable.h"
 
 #include <boost/test/unit_test.hpp>
 
 using namespace lagoonward;
 
-BOOST_AUTO_TEST_SUITE(InFlightBookTests)
+BOOST_AUTO_TEST_SUITE(InFlightTableTests)
 
 BOOST_AUTO_TEST_CASE(SumsLatestReportsOfOtherRuns)
 {
   VirtualClock clock;
-  InFlightBook table(Seconds(3), clock);
+  InFlightTable table(Seconds(3), clock);
   table.OnCounts(1, { { 10, 2 }, { 20, 1 } });
   table.OnCounts(2, { { 10, 5 } });
   table.OnCounts(3, { { 20, 4 } });
@@ -24,7 +24,7 @@
 BOOST_AUTO_TEST_CASE(ExpiresCountsOfSilentRuns)
 {
   VirtualClock clock;
-  InFlightBook table(Seconds(3), clock);
+  InFlightTable table(Seconds(3), clock);
   table.OnCounts(1, { { 10, 2 } });
   clock.Advance(Seconds(4));
   BOOST_TEST(table.SumOfOthers(2).empty());
--- a/UnitTests/Routing/MovePolicyTests.cpp
+++ b/UnitTests/Routing/MovePolicyTests.cpp
@@ -26,7 +26,7 @@
 {
   MoveState state = MakeStream();
   state.tokensLeft = 100;
-  BOOST_TEST((PlanMove(state, {}).kind == HostExit::FinishInPlace));
+  BOOST_TEST((PlanMove(state, {}).kind == StreamMoveKind::FinishInPlace));
 }
 
 BOOST_AUTO_TEST_CASE(TransfersGetDisjointSlotsBeforeTermination)
@@ -35,11 +35,11 @@
   MoveState state = MakeStream();
   double latest = state.secondsLeft - settings.marginSeconds;
   for (int stream = 0; stream < 20; ++stream) {
-    const HostExitPlan plan = PlanMove(state, settings);
-    BOOST_TEST((plan.kind == HostExit::Transfer));
+    const StreamMovePlan plan = PlanMove(state, settings);
+    BOOST_TEST((plan.kind == StreamMoveKind::Transfer));
     BOOST_TEST(plan.startInSeconds + plan.transferSeconds <= latest + 1e-9);
-    latest = plan.startInSeconds + settings.transferSetupSeconds * settings.safety;
-    state.laterTokens += state.contextTokens;
+    latest = plan.startInSeconds + settings.transferSetupSeconds * settings.durationMargin;
+    state.laterTransferTokens += state.contextTokens;
   }
 }
 
@@ -47,11 +47,11 @@
 {
   MoveState state = MakeStream();
   state.canTransfer = false;
-  BOOST_TEST((PlanMove(state, {}).kind == HostExit::Resume));
+  BOOST_TEST((PlanMove(state, {}).kind == StreamMoveKind::Resume));
   state.canTransfer = true;
   state.secondsLeft = 0.5;
-  const HostExitPlan late = PlanMove(state, {});
-  BOOST_TEST((late.kind == HostExit::Resume));
+  const StreamMovePlan late = PlanMove(state, {});
+  BOOST_TEST((late.kind == StreamMoveKind::Resume));
   BOOST_TEST(late.startInSeconds == 0);
 }
 
--- a/UnitTests/Routing/RouterCallTests.cpp
+++ b/UnitTests/Routing/RouterCallTests.cpp
@@ -94,7 +94,8 @@
 {
   Fixture fixture(2);
   const RoutingTablePtr table = RoutingTable::Build(fixture.fleet, fixture.manifest, fixture.clock);
-  const std::array<EndpointCount, 1> busy{ EndpointCount{ table->Targets()[0].key, 30 } };
+  const std::array<EndpointInFlightCount, 1> busy{ EndpointInFlightCount{ table->Targets()[0].key,
+                                                                          30 } };
   fixture.router.OnPeersInFlight(busy);
   for (int call = 0; call < 20; ++call) {
     BOOST_TEST(fixture.Call(Milliseconds(5), DispatchOutcome::Completed) == "e1");
--- a/UnitTests/Routing/RouterTests.cpp
+++ b/UnitTests/Routing/RouterTests.cpp
@@ -232,7 +232,7 @@
 BOOST_AUTO_TEST_CASE(NewIncarnationOfAnEndpointInheritsNoState)
 {
   // State of the first incarnation: cached blocks, requests in flight, failures
-  this->fleet.endpoints[0].born = 1000;
+  this->fleet.endpoints[0].incarnation = 1000;
   this->Publish();
   RouteRequest request = this->Request();
   request.prefixBlocks = this->blocks;
@@ -246,7 +246,7 @@
   }
   BOOST_TEST(!this->router.Choose(request).has_value());
 
-  this->fleet.endpoints[0].born = 2000;
+  this->fleet.endpoints[0].incarnation = 2000;
   this->Publish();
   const auto second = this->router.Choose(request);
   BOOST_REQUIRE(second.has_value());
--- a/UnitTests/Settings/RelaySettingsReaderTests.cpp
+++ b/UnitTests/Settings/RelaySettingsReaderTests.cpp
@@ -92,7 +92,7 @@
   BOOST_TEST(Read({ "--settings", file.path }).faults.size() == 1U);
   BOOST_TEST(Read({ "--no-such-flag", "1" }).faults.size() == 1U);
   BOOST_TEST(Read({ "--settings", "/no/such/file" }).faults.size() == 1U);
-  BOOST_TEST(Read({ "--help" }).helpAsked);
+  BOOST_TEST(Read({ "--help" }).helpRequested);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/UnitTests/Settings/SettingsReaderTests.cpp
+++ b/UnitTests/Settings/SettingsReaderTests.cpp
@@ -87,7 +87,7 @@
   for (const SettingRule& rule : SettingsReader::Rules()) {
     BOOST_TEST(help.find("--" + rule.name + " ") != std::string::npos);
   }
-  BOOST_TEST(SettingsReader::Read(std::vector<std::string>{ "--help" }, {}).helpAsked);
+  BOOST_TEST(SettingsReader::Read(std::vector<std::string>{ "--help" }, {}).helpRequested);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/UnitTests/Support/FakeLogService.cpp
+++ b/UnitTests/Support/FakeLogService.cpp
@@ -83,7 +83,7 @@
 }
 
 void
-FakeLogService::DeliverLate()
+FakeLogService::StoreLateAppends()
 {
   const std::lock_guard lock(this->mutex);
   for (const auto& [stream, record] : this->lateAppends) {
--- a/UnitTests/Support/FakeLogService.h
+++ b/UnitTests/Support/FakeLogService.h
@@ -18,7 +18,7 @@
     None,
     Refused,    ///< Fails; the record is not stored.
     AnswerLost, ///< Fails, but the record is stored.
-    Late,       ///< Fails; the record is stored at the next DeliverLate().
+    Late,       ///< Fails; the record is stored at the next StoreLateAppends().
   };
 
   [[nodiscard]] Result<Offset> Append(std::string_view aStream, std::string_view aRecord) override;
@@ -35,7 +35,7 @@
   void SetUnreadable(bool aUnreadable);
 
   /// Stores the records of all late appends, in order.
-  void DeliverLate();
+  void StoreLateAppends();
 
   /// Drops all records below an offset.
   void Truncate(std::string_view aStream, Offset aStart);
--- a/UnitTests/Support/LoopbackPeers.h
+++ b/UnitTests/Support/LoopbackPeers.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "Lagoonward/Core/SystemClock.h"
-#include "Lagoonward/Membership/KeeperPlan.h"
+#include "Lagoonward/Membership/KeyOwnerPlan.h"
 #include "Lagoonward/Membership/MembershipService.h"
 
 #include <boost/test/unit_test.hpp>
@@ -14,14 +14,15 @@
 namespace lagoonward::testing {
 
 /// Timeout of Await().
-inline constexpr Seconds kPatience{ 20 };
+inline constexpr Seconds kAwaitTimeout{ 20 };
 
 /// Polls a condition every 10 ms until it holds; fails the test after the timeout.
 template<typename Condition>
 void
 Await(Condition aCondition)
 {
-  for (Milliseconds waited{ 0 }; waited < kPatience && !aCondition(); waited += Milliseconds(10)) {
+  for (Milliseconds waited{ 0 }; waited < kAwaitTimeout && !aCondition();
+       waited += Milliseconds(10)) {
     std::this_thread::sleep_for(Milliseconds(10));
   }
   BOOST_TEST_REQUIRE(aCondition());
@@ -49,7 +50,7 @@
 
 /// Poll callback that sends no poll and never reports a result.
 inline void
-PollNothing(const HostEntry& /*aEndpoint*/, const MembershipService::PollDone& /*aDone*/)
+IgnorePoll(const HostEntry& /*aEndpoint*/, const MembershipService::PollDone& /*aDone*/)
 {
 }
 
@@ -113,10 +114,10 @@
   LoopbackFleet& operator=(const LoopbackFleet&) = delete;
 
   /// The owners of a key according to the peers of the first daemon.
-  [[nodiscard]] Keepers KeepersOf(std::uint64_t aKey) const
+  [[nodiscard]] KeyOwners OwnersOf(std::uint64_t aKey) const
   {
-    KeeperPlan plan(LoopbackIdentity(0).self, true, *this->daemons[0]->membership.Peers());
-    return plan.KeepersOf(aKey);
+    KeyOwnerPlan plan(LoopbackIdentity(0).self, true, *this->daemons[0]->membership.Peers());
+    return plan.OwnersOf(aKey);
   }
 
   SystemClock clock;
--- a/UnitTests/Support/ScriptedServer.cpp
+++ b/UnitTests/Support/ScriptedServer.cpp
@@ -142,7 +142,7 @@
       case ScriptStep::Kind::Close:
         ::shutdown(aSocket, SHUT_RDWR);
         return false;
-      case ScriptStep::Kind::Die:
+      case ScriptStep::Kind::ResetAndStopListening:
         ::shutdown(this->listener.Get(), SHUT_RDWR);
         [[fallthrough]];
       case ScriptStep::Kind::Reset: {
--- a/UnitTests/Support/ScriptedServer.h
+++ b/UnitTests/Support/ScriptedServer.h
@@ -22,7 +22,7 @@
     Wait,  ///< Waits for the span, or until the other end closes; then the script is abandoned.
     Close, ///< Closes the connection with FIN.
     Reset, ///< Closes the connection with RST.
-    Die,   ///< Closes the connection with RST and stops listening.
+    ResetAndStopListening, ///< Closes the connection with RST and stops listening.
   };
 
   Kind kind = Kind::Send;
@@ -51,7 +51,7 @@
   [[nodiscard]] std::vector<std::string> Requests() const;
 
   /// Number of connections whose other end closed during a Wait step.
-  [[nodiscard]] int Abandoned() const { return this->abandoned; }
+  [[nodiscard]] int AbandonedScripts() const { return this->abandoned; }
 
 private:
   void Accept();
--- a/UnitTests/Support/SharedLimit.h
+++ b/UnitTests/Support/SharedLimit.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "Lagoonward/Admission/PooledBucket.h"
+#include "Lagoonward/Admission/SharedTokenBucket.h"
 
 #include <cstddef>
 #include <functional>
@@ -18,54 +18,54 @@
 
   /// The last daemon holds the primary reserve, the one before it the backup.
   SharedLimit(std::size_t aDaemons, const PooledLimit& aLimit, TimePoint aNow)
-    : buckets(aDaemons, PooledBucket({}, aNow))
+    : buckets(aDaemons, SharedTokenBucket({}, aNow))
   {
-    for (PooledBucket& bucket : this->buckets) {
+    for (SharedTokenBucket& bucket : this->buckets) {
       bucket.Configure(aLimit, aNow);
     }
     if (aDaemons > 1) {
-      this->reserves = { aDaemons - 1, aDaemons - 2 };
-      this->buckets[this->reserves[0]].SetRole(ReserveRole::Primary, aNow);
-      this->buckets[this->reserves[1]].SetRole(ReserveRole::Backup, aNow);
+      this->reserveDaemons = { aDaemons - 1, aDaemons - 2 };
+      this->buckets[this->reserveDaemons[0]].SetReserveRole(ReserveRole::Primary, aNow);
+      this->buckets[this->reserveDaemons[1]].SetReserveRole(ReserveRole::Backup, aNow);
     }
   }
 
   /// Consumes tokens at one daemon, which first requests tokens from the reserves if it holds too few.
   /// @return zero if the tokens were consumed, otherwise the seconds after which to retry
-  double Take(std::size_t aDaemon, double aTokens, TimePoint aNow)
+  double TryConsume(std::size_t aDaemon, double aTokens, TimePoint aNow)
   {
-    PooledBucket& bucket = this->buckets[aDaemon];
-    if (const auto request = bucket.WantedLoan(aTokens, aNow)) {
+    SharedTokenBucket& bucket = this->buckets[aDaemon];
+    if (const auto request = bucket.MakeTokenRequest(aTokens, aNow)) {
       this->RequestTokens(aDaemon, *request, aNow);
     }
-    return bucket.Take(aTokens, aNow);
+    return bucket.TryConsume(aTokens, aNow);
   }
 
-  std::vector<PooledBucket> buckets;
+  std::vector<SharedTokenBucket> buckets;
   std::vector<std::size_t>
-    reserves; ///< Indices of the daemons that hold a reserve, the primary first.
-  ReachabilityPredicate reaches = [](std::size_t, std::size_t) { return true; };
+    reserveDaemons; ///< Indices of the daemons that hold a reserve, the primary first.
+  ReachabilityPredicate canReach = [](std::size_t, std::size_t) { return true; };
 
 private:
-  void RequestTokens(std::size_t aDaemon, const LoanRequest& aRequest, TimePoint aNow)
+  void RequestTokens(std::size_t aDaemon, const LimitTokenRequest& aRequest, TimePoint aNow)
   {
-    PooledBucket& bucket = this->buckets[aDaemon];
+    SharedTokenBucket& bucket = this->buckets[aDaemon];
     bool isRefused = false;
-    for (const std::size_t reserve : this->reserves) {
-      if (reserve == aDaemon || !this->reaches(aDaemon, reserve)) {
+    for (const std::size_t reserve : this->reserveDaemons) {
+      if (reserve == aDaemon || !this->canReach(aDaemon, reserve)) {
         continue;
       }
-      const Loan grant = this->buckets[reserve].Lend(aRequest, aNow);
-      isRefused = isRefused || grant.wait > 0;
-      if (grant.tokens > 0 || grant.wait > 0) {
-        bucket.OnLoan(grant, aRequest.need, aNow);
+      const LimitTokenGrant grant = this->buckets[reserve].GrantTokens(aRequest, aNow);
+      isRefused = isRefused || grant.retryAfterSeconds > 0;
+      if (grant.tokens > 0 || grant.retryAfterSeconds > 0) {
+        bucket.OnTokenGrant(grant, aRequest.neededTokens, aNow);
       }
       if (grant.tokens > 0) {
         return;
       }
     }
     if (!isRefused) {
-      bucket.OnLoanUnanswered(aNow);
+      bucket.OnTokenRequestTimeout(aNow);
     }
   }
 };
--- a/UnitTests/Wire/HttpTests.cpp
+++ b/UnitTests/Wire/HttpTests.cpp
@@ -144,7 +144,7 @@
     fixture.loop.RunAfter(Milliseconds(20), [&] { cancelled.set_value(); });
   });
   cancelled.get_future().get();
-  BOOST_TEST(exchange->IsCallerGone());
+  BOOST_TEST(exchange->IsCallerDisconnected());
   exchange->Respond(200, {}, "late");
   fixture.loop.Stop();
   BOOST_TEST(observer.body.empty());
--- a/UnitTests/Wire/RawHttpTests.cpp
+++ b/UnitTests/Wire/RawHttpTests.cpp
@@ -111,18 +111,18 @@
     RawClient client(recorder.server.Port());
     client.Send("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
     const HttpExchangePtr exchange = recorder.Await();
-    BOOST_TEST(!exchange->IsCallerGone());
+    BOOST_TEST(!exchange->IsCallerDisconnected());
     if (half) {
       client.CloseSendingHalf();
     } else {
       client.Close();
     }
     const auto begun = std::chrono::steady_clock::now();
-    while (!exchange->IsCallerGone() &&
+    while (!exchange->IsCallerDisconnected() &&
            std::chrono::steady_clock::now() - begun < std::chrono::seconds(5)) {
       std::this_thread::sleep_for(std::chrono::milliseconds(5));
     }
-    BOOST_TEST(exchange->IsCallerGone());
+    BOOST_TEST(exchange->IsCallerDisconnected());
   }
 }
 
@@ -143,7 +143,7 @@
 BOOST_AUTO_TEST_CASE(ConnectionsCloseAfterTheirResponseWhileStillListening)
 {
   RecordingServer recorder;
-  recorder.server.CloseAfterAnswers();
+  recorder.server.CloseAfterResponses();
   RawClient client(recorder.server.Port());
   client.Send("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
   const std::string answer = client.ReadToEnd();
