--- a/Lagoonward/Placement/PlacementRound.cpp
+++ b/Lagoonward/Placement/PlacementRound.cpp
@@ -232,8 +232,8 @@
 void
 Placement::Round::StartHostFor(const ManifestModel& aModel, const DomainCoverage& aCoverage)
 {
-  HostStartTracker& hostStarts = this->placement.hostStarts;
-  if (hostStarts.InProgressCount() >= this->placement.settings.concurrentStarts) {
+  HostStartTracker& starts = this->placement.hostStarts;
+  if (starts.InProgressCount() >= this->placement.settings.concurrentStarts) {
     return;
   }
 
@@ -241,7 +241,7 @@
   const int needed = this->RequiredEndpoints(aModel);
   DomainCoverage expected = aCoverage;
   for (const std::string& domain : this->view.manifest.failureDomains) {
-    for (int index = 0; index < hostStarts.InProgressCountIn(domain); ++index) {
+    for (int index = 0; index < starts.InProgressCountIn(domain); ++index) {
       expected.Add(domain);
     }
   }
@@ -271,7 +271,7 @@
 
   PlacementOrder order;
   order.kind = PlacementOrder::Kind::StartHost;
-  order.host = hostStarts.Begin(*best, this->wallNow);
+  order.host = starts.Begin(*best, this->wallNow);
   order.id = order.host.clientToken;
   order.reason = "no endpoint has free capacity for " + aModel.name + "@" + aModel.version;
   this->orders.push_back(std::move(order));
