--- a/Lagoonward/Admission/Admission.h
+++ b/Lagoonward/Admission/Admission.h
@@ -70,8 +70,8 @@
   /// Sets the utilization of the endpoints; see Router::Pressure().
   void SetPressure(double aPressure);
 
-  /// Sets the number of daemons that may share the limits, including this one, as known from configuration rather than
-  /// from received messages. Until the first call or the first message of a peer, pooled limits admit nothing.
+  /// Sets the number of daemons that may share the limits, including this one, as known without messages from each of
+  /// them. Until the first call or a peer's first message, pooled limits admit nothing, for up to `daemonCountTimeout`.
   void SetDaemonCount(int aCount);
 
   /// Sets the function that returns the reserve role of this daemon for each pooled limit. Its argument is the hash of
--- a/Lagoonward/Admission/PoisonRequestFilter.h
+++ b/Lagoonward/Admission/PoisonRequestFilter.h
@@ -59,7 +59,7 @@
   std::uint64_t domain = 0;      ///< Hash of its failure domain.
   std::int64_t age = 0;          ///< Milliseconds since the loss.
   std::int64_t sentAge = 0;      ///< Milliseconds since the request was sent there.
-  bool hadPartialAnswer = false; ///< ReadCallback of its answer had been received.
+  bool hadPartialAnswer = false; ///< Part of its answer had been received.
 
   template<class Archive>
   void serialize(Archive& aArchive)
--- a/Lagoonward/Attempts/CrashProbe.h
+++ b/Lagoonward/Attempts/CrashProbe.h
@@ -27,7 +27,7 @@
   /// @param aFilter   receives the report if the endpoint has crashed; must outlive this object
   /// @param aAddress  address of the endpoint, `IP:PORT`
   /// @param aOnKnown  called once: when the result is known and a crash has been reported to aFilter, or when the
-  ///                  result does not arrive in time, because a connection attempt that hangs is not refused either
+  ///                  result does not arrive in time, because a connection attempt may hang without being refused
   void OnConnectionLost(PoisonRequestFilter& aFilter, const std::string& aAddress,
                         const CrashReport& aReport, std::function<void()> aOnKnown);
 
--- a/Lagoonward/Attempts/RunCrashTracker.h
+++ b/Lagoonward/Attempts/RunCrashTracker.h
@@ -29,7 +29,7 @@
   /// An attempt at an endpoint starts.
   void OnSent(const Endpoint& aEndpoint);
 
-  /// ReadCallback of the answer has arrived.
+  /// Part of the answer has arrived.
   void OnProgress() { this->hasPartialAnswer = true; }
 
   /// The request completed successfully.
@@ -60,7 +60,7 @@
   std::uint64_t endpoint = 0;     ///< Identifies one instance of the endpoint; see EndpointKeyOf().
   std::uint64_t domain = 0;       ///< Hash of its failure domain.
   TimePoint sentAt;
-  bool hasPartialAnswer = false; ///< ReadCallback of the answer has arrived.
+  bool hasPartialAnswer = false; ///< Part of the answer has arrived.
 };
 
 } // namespace lagoonward
--- a/Lagoonward/Relay/RelayRunMoving.cpp
+++ b/Lagoonward/Relay/RelayRunMoving.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <utility>
 
-// ReadCallback of RelayRun: moves the stream off a leaving endpoint.
+// Part of RelayRun: moves the stream off a leaving endpoint.
 
 namespace lagoonward {
 
--- a/Lagoonward/Relay/RelayRunSending.cpp
+++ b/Lagoonward/Relay/RelayRunSending.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <utility>
 
-// ReadCallback of RelayRun: selects an endpoint and sends the request to it.
+// Part of RelayRun: selects an endpoint and sends the request to it.
 
 namespace lagoonward {
 
