--- a/Lagoonward/Daemon/EndpointChangeLog.h
+++ b/Lagoonward/Daemon/EndpointChangeLog.h
@@ -45,8 +45,8 @@
   /// Lowest version from which on the log has no gap.
   [[nodiscard]] std::int64_t FirstVersion() const { return this->firstVersion; }
 
-  /// The changes of this version and above. Inferred ones are always among them, as their version is not one that the
-  /// source gave to a record.
+  /// The changes of this version and above. Inferred ones are always among them: their version is that of the last
+  /// record before the end of the full read, and says little about when the endpoint was removed.
   [[nodiscard]] std::vector<EndpointRecord> ChangesFrom(std::int64_t aVersion) const;
 
 private:
--- a/Lagoonward/Daemon/EndpointReplicator.cpp
+++ b/Lagoonward/Daemon/EndpointReplicator.cpp
@@ -24,7 +24,7 @@
 /// nothing.
 constexpr int kReaderRanks = 2;
 
-/// Longest age of a snapshot that is sent or accepted, and longest answered span that is accepted from a message.
+/// Greatest snapshot age sent or accepted: older ones are of no use. Longer answered spans in messages are cut to it.
 constexpr Milliseconds kMaximumPlausibleAge = Seconds(3600);
 
 } // namespace
--- a/Lagoonward/Daemon/EndpointReplicator.h
+++ b/Lagoonward/Daemon/EndpointReplicator.h
@@ -29,7 +29,7 @@
 /// their groups. A leaving endpoint is therefore known on every daemon within one read interval and two messages, and
 /// the number of reads at the source does not depend on the number of daemons.
 ///
-/// Each snapshot has an age: it contains everything that the source acknowledged before that age. A message carries the
+/// Each snapshot has an age: it contains all that the source acknowledged longer ago than that. A message carries the
 /// age of its sender's snapshot, and the receiver adds the time in transit (DelayEstimator). A daemon whose snapshot
 /// exceeds its staleness limit reads the source directly; the standby reader has the shortest limit. Messages that
 /// arrive in time but carry an old snapshot do not keep a daemon from reading directly.
@@ -70,8 +70,8 @@
   /// Interval between two reads of the source in the current state. Any thread.
   [[nodiscard]] Milliseconds ReadInterval() const;
 
-  /// Age of the snapshot: it contains everything that the source had acknowledged before then. The greatest value
-  /// before the first full read. Any thread.
+  /// Age of the snapshot: it contains everything that the source acknowledged longer ago than that. The greatest
+  /// value before the first full read. Any thread.
   [[nodiscard]] Milliseconds Age() const;
 
   /// Whether this daemon is the primary reader. True until other daemons are known. Any thread.
@@ -136,7 +136,7 @@
   std::unordered_map<PeerKey, std::int64_t>
     acknowledgedVersions; ///< Version below which each receiver's snapshot is complete.
   std::unordered_map<PeerKey, DelayEstimator> delays; ///< By sender.
-  Milliseconds longestStaleAge{ 0 }; ///< Since the snapshot became stale; zero while it is not.
+  Milliseconds longestStaleAge{ 0 }; ///< Greatest Age() while above staleAfter; zero otherwise.
   PeerViewPtr planView;              ///< The view that the plan was computed from.
   AggregationPlan plan;
   std::atomic<int> rank{ 0 }; ///< In the plan; 0 is the primary reader, 1 the standby reader.
--- a/Lagoonward/Daemon/EndpointReplicatorSettings.h
+++ b/Lagoonward/Daemon/EndpointReplicatorSettings.h
@@ -47,7 +47,7 @@
   Milliseconds timeout{ 800 };      ///< For one message.
   Milliseconds tickInterval{ 200 }; ///< Between two checks of the plan, the age and the directory.
   std::size_t maximumRetainedIds =
-    4096; ///< Ids above which those of removed endpoints are dropped.
+    4096; ///< Number of ids above which state of removed endpoints is dropped.
 };
 
 /// Intervals and staleness limits for endpoints whose leaving must be known on all daemons within a time. In the worst
--- a/Lagoonward/Daemon/LeaderTaskService.h
+++ b/Lagoonward/Daemon/LeaderTaskService.h
@@ -42,7 +42,7 @@
   }; ///< From the last observation of another leader to the first own order.
   Milliseconds staleFencingPause{
     4000
-  }; ///< Without orders, after one was rejected with StaleFencing.
+  }; ///< Time without orders after one was rejected with StaleFencing.
   DemandSizingSettings sizing;
 };
 
--- a/Lagoonward/Daemon/RelayTuning.cpp
+++ b/Lagoonward/Daemon/RelayTuning.cpp
@@ -22,7 +22,7 @@
 constexpr Milliseconds kLeaseWait{ 900 };
 constexpr Milliseconds kLeaseRetryPause{ 200 };
 
-/// Daemons whose rank is too low to become leader poll the lease rarely: they know the candidates by rank.
+/// Daemons whose rank is too high to become leader poll the lease rarely: they know the candidates by rank.
 constexpr Milliseconds kSpectatorPause{ 20'000 };
 
 /// Added to the time in which orders of two leaders must not alternate, for the call itself to arrive.
--- a/Lagoonward/Routing/HedgePolicy.h
+++ b/Lagoonward/Routing/HedgePolicy.h
@@ -7,7 +7,7 @@
 /// Tunables of hedging: when a second attempt may run in parallel with the first.
 struct HedgeSettings
 {
-  /// The second attempt starts when its predicted duration times this is left.
+  /// The second attempt starts no earlier than when its predicted duration times this is left.
   double durationMargin = 1.5;
   /// The first token is overdue after this many times its predicted time.
   double overdueFactor = 2;
--- a/Lagoonward/Routing/RouteChoice.h
+++ b/Lagoonward/Routing/RouteChoice.h
@@ -19,7 +19,7 @@
   double recompute = 0;
   /// Negative: what later requests save if the prefix is cached at its home endpoint.
   double locality = 0;
-  double latency = 0;   ///< Cost of the response time, weighted by RoutingSettings.
+  double latency = 0;   ///< Cost of the response time; see RoutingSettings::latencyWeight.
   double slowStart = 0; ///< Surcharge of a new endpoint.
 
   [[nodiscard]] double Total() const
--- a/Lagoonward/Routing/Router.h
+++ b/Lagoonward/Routing/Router.h
@@ -168,7 +168,7 @@
                                 TimePoint aNow) const;
   [[nodiscard]] EndpointEstimate EstimateFor(std::uint32_t aTarget,
                                              const DecisionContext& aContext) const;
-  /// Adds the fetch of a cached prefix from another endpoint to an estimate, if that is fast enough.
+  /// Adds the fetch of a cached prefix from another endpoint to an estimate, if it is long enough and fast enough.
   void EstimateFetch(std::uint32_t aTarget, const DecisionContext& aContext,
                      EndpointEstimate& aEstimate) const;
   /// Endpoint that holds the longest prefix of the prompt, if any.
--- a/Lagoonward/Routing/SpeedEnvelope.h
+++ b/Lagoonward/Routing/SpeedEnvelope.h
@@ -58,8 +58,8 @@
 
 /// Estimates the prefill and decode speed of one class of engines from response times alone, without load reports.
 /// Every disturbance makes an observation slower, never faster. Therefore an outer quantile of the recent samples is
-/// used, not their mean: a mean mistakes a busy engine for a slow one, and three times too many were ordered. Memory is
-/// allocated only by the estimates. Not thread-safe.
+/// used, not their mean: a mean mistakes a busy engine for a slow one, and three times too many engines were ordered.
+/// Memory is allocated only by the estimates. Not thread-safe.
 class SpeedEnvelope
 {
 public:
