--- a/Lagoonward/Claims/ClaimBatcher.cpp
+++ b/Lagoonward/Claims/ClaimBatcher.cpp
@@ -311,7 +311,7 @@
     }
     this->pageLimit = std::min(this->settings.pageLimit, this->pageLimit * 2);
 
-    // Read only up to the end reported by the first page; on a busy stream the loop would not terminate
+    // Read only up to the end reported by the first page; otherwise the loop would not terminate on a busy stream
     end = end == kNoOffset ? page.value().end : end;
     this->ApplyPage(page.value());
     if (page.value().records.empty() || this->ledger.NextOffset() >= end) {
--- a/Lagoonward/Fleet/Endpoint.h
+++ b/Lagoonward/Fleet/Endpoint.h
@@ -68,7 +68,7 @@
   EndpointState state = EndpointState::Live;
   bool reclaimable = true;
   bool movesStreams = false; ///< Can copy the KV cache of a run to another endpoint on request.
-  double fetchSecondsPerToken = 0; ///< Of a prompt token cached elsewhere; zero if it cannot fetch.
+  double fetchSecondsPerToken = 0; ///< To fetch a prompt token cached elsewhere; zero if it cannot.
   int sequences = 0;               ///< Requests that it can run concurrently; zero if not reported.
   double pricePerHour = 0;         ///< Zero if no price is known.
   std::optional<TimePoint>
--- a/Lagoonward/Membership/AggregationPlan.h
+++ b/Lagoonward/Membership/AggregationPlan.h
@@ -14,7 +14,7 @@
   /// answers about 160 reports per second.
   std::size_t maximumGroupSize = 64;
 
-  /// Aggregators per group: a primary that computes the sums, and a standby that receives the same reports.
+  /// Aggregators per group: a primary computes the sums, and a standby gets the same reports and can take over.
   std::size_t aggregators = 2;
 
   /// Aggregators of the group if it is the only one, because only aggregators are candidates for election.
--- a/Lagoonward/Membership/MembershipSettings.h
+++ b/Lagoonward/Membership/MembershipSettings.h
@@ -25,7 +25,7 @@
   Milliseconds localPauseThreshold{ 1000 }; ///< Gap between two ticks that counts as a local pause.
   Milliseconds deadProbeInterval{ 5000 };   ///< Between probes of daemons that are dead but listed.
   Milliseconds deadRetention{ 60000 };      ///< Retention of a dead or unlisted peer.
-  std::size_t retransmitFactor = 1;         ///< A change is sent this times log2(peers) times.
+  std::size_t retransmitFactor = 1;         ///< Sends per change: this value times log2(peers).
 };
 
 /// Tunables of the polling of endpoints and of the dissemination of endpoint facts.
--- a/Lagoonward/Placement/DemandSizing.h
+++ b/Lagoonward/Placement/DemandSizing.h
@@ -25,7 +25,7 @@
   /// Fraction of the largest failure domain's reclaimable endpoints that ordinary ones replace in advance while some
   /// failure domain has no reclaimable capacity, because reclaims come in waves. With a fraction of 1, large
   /// deployments were served better (worst seconds: 0.43 to 0.56 of their value), but small deployments paid
-  /// more than it gained (0.02 of a day's value).
+  /// more for it than they gained (0.02 of a day's value).
   double nextReclaimFraction = 0.5;
 
   /// Factor on the required number of endpoints, so that enough remain when one failure domain loses its reclaimable
--- a/Lagoonward/Reclaim/MovePlanner.h
+++ b/Lagoonward/Reclaim/MovePlanner.h
@@ -8,7 +8,7 @@
 /// Chooses for each stream on a leaving endpoint the cheapest option that still meets its deadline. The cost
 /// counts recomputed tokens, price, the output gap seen by the caller, the reclaim risk of the target and the
 /// queue of earlier moves there (docs/design/moves.md). Never moves a stream to a leaving endpoint or into a
-/// leaving failure domain. Continues a move that has started unless its target is leaving.
+/// leaving failure domain. Continues a move that has started unless its target is unusable or its export is late.
 class MovePlanner
 {
 public:
--- a/Lagoonward/Reclaim/MoveTypes.h
+++ b/Lagoonward/Reclaim/MoveTypes.h
@@ -30,7 +30,7 @@
   int cachedTokens = 0; ///< Estimated number of tokens of the stream's prefix in its cache.
 };
 
-/// A move that was planned earlier. Once started it is continued unless its target is leaving.
+/// A move that was planned earlier. Once started it is continued unless its target is unusable or its export is late.
 struct MoveInProgress
 {
   MoveKind kind = MoveKind::Reprefill;
