--- a/Fuzz/Decoders/LoadFuzzer.cpp
+++ b/Fuzz/Decoders/LoadFuzzer.cpp
@@ -34,7 +34,7 @@
 
 } // namespace
 
-/// Arbitrary messages on crashes and permits must not exceed the poison retention or the longest permit wait.
+/// No message on crashes or permits may cause a poison verdict or a permit wait that is longer than its maximum.
 void
 CheckShared(std::string_view aBytes, const Clock& aClock)
 {
--- a/UnitTests/Admission/PoisonRequestFilterTests.cpp
+++ b/UnitTests/Admission/PoisonRequestFilterTests.cpp
@@ -110,7 +110,7 @@
                        boost::unit_test::data::make({ 0.0, 0.3 }),
                      daemons, requestInterval, lossProbability)
 {
-  // At most three rounds of updates, a quarter of a second each, up to two seconds under load
+  // At most three rounds of updates: normally a quarter of a second each, longer under load (here up to one second)
   for (const Milliseconds updateInterval : { Milliseconds(250), Milliseconds(1000) }) {
     Fleet fleet(daemons, updateInterval, lossProbability,
                 static_cast<std::uint64_t>(daemons + requestInterval));
--- a/UnitTests/Admission/SharedTokenBucketTests.cpp
+++ b/UnitTests/Admission/SharedTokenBucketTests.cpp
@@ -126,7 +126,7 @@
   BOOST_TEST(admitted >= 8 * kLimit.rate * 0.8);
 }
 
-/// Under a sudden load the daemons must not admit an excess that would have to be refilled afterwards.
+/// However load begins on full buckets, no excess may be admitted that refusals would have to make up for later.
 BOOST_AUTO_TEST_CASE(FullBucketIsNotOverdrawn)
 {
   Deployment deployment(7);
--- a/UnitTests/Fleet/EndpointDirectoryTests.cpp
+++ b/UnitTests/Fleet/EndpointDirectoryTests.cpp
@@ -52,7 +52,7 @@
   clock.Advance(Seconds(5));
   directory.SetSourceAvailable(true);
 
-  // Observed only before this host's outage and after it: the source may have been unavailable to all hosts
+  // Observed before this host's outage and in its last second only: the source may have been unavailable to all
   directory.AddSourceAvailability({ testStart, testStart + Seconds(10) });
   BOOST_TEST(!directory.OnRemoved("a"));
   directory.AddSourceAvailability({ testStart + Seconds(14), testStart + Seconds(15) });
--- a/UnitTests/Membership/MembershipServiceTests.cpp
+++ b/UnitTests/Membership/MembershipServiceTests.cpp
@@ -172,7 +172,7 @@
   auto list = this->hosts;
   list.push_back({ "engine-new", HostEntry::Kind::Engine, "127.0.0.1", 1, "domain-0", "region",
                    "large", "", false });
-  // A list read too soon after the last publication is published after a later read
+  // If a list is read too soon after the last publication, it is published after a later read
   BOOST_TEST(this->AllEventually([&](const MembershipService& aDaemon) {
     std::size_t readers = 0;
     for (const auto& daemon : this->daemons) {
--- a/UnitTests/Relay/RelayServiceTests.cpp
+++ b/UnitTests/Relay/RelayServiceTests.cpp
@@ -827,7 +827,7 @@
   BOOST_TEST(relay.SendRequestWithBody("another", kind).reply.has_value());
 }
 
-/// Guards against blocking requests as crash-causing whose endpoints lost the response but stayed alive.
+/// Guards against treating a request as one that crashes endpoints when these lose responses but stay alive.
 BOOST_AUTO_TEST_CASE(LostConnectionsWithoutACrashDoNotBlockARequest)
 {
   const auto resetting = [](const std::string&) {
--- a/UnitTests/StandIns/PlatformStandInTests.cpp
+++ b/UnitTests/StandIns/PlatformStandInTests.cpp
@@ -20,7 +20,7 @@
   return Fetch(aMethod, "http://" + aServer.ToString() + aPath, aBody, kTimeout);
 }
 
-/// A platform without host list and start delays.
+/// A platform that updates its host list and starts hosts without delay.
 struct Fixture
 {
   explicit Fixture(const PlatformSettings& aSettings = Quick())
