--- a/Bench/Path/PathEngine.h
+++ b/Bench/Path/PathEngine.h
@@ -54,7 +54,7 @@
   void RunTicker();
 
   PathEngineSettings settings;
-  std::string tokenEventSuffix; ///< ReadCallback of a token event after the index.
+  std::string tokenEventSuffix; ///< Part of a token event after the index.
   std::atomic<Milliseconds> step;
   std::mutex mutex; ///< Guards `streams`.
   std::vector<Stream> streams;
--- a/Lagoonward/Frontend/AnswerWriters.h
+++ b/Lagoonward/Frontend/AnswerWriters.h
@@ -46,8 +46,8 @@
   std::size_t nextToken; ///< Index of the first token that has not been written.
   bool streamStarted = false;
   bool disconnected = false; ///< The caller has disconnected or reads too slowly.
-  std::string eventPrefix;   ///< ReadCallback of a token's event between its id and its text.
-  std::string eventSuffix;   ///< ReadCallback of a token's event after its text.
+  std::string eventPrefix;   ///< Part of a token's event between its id and its text.
+  std::string eventSuffix;   ///< Part of a token's event after its text.
   std::string buffer; ///< Events of one call of OnChanged(); a member so that its memory is reused.
 };
 
--- a/StandIns/Engine/EngineCore.h
+++ b/StandIns/Engine/EngineCore.h
@@ -103,7 +103,7 @@
   using StreamPointer = std::shared_ptr<EngineStream>;
   using Lock = std::unique_lock<std::mutex>;
 
-  /// ReadCallback of one prompt that is prefilled in one step.
+  /// Part of one prompt that is prefilled in one step.
   struct PrefillSlice
   {
     StreamPointer stream;
